--- /dev/null
+++ b/crates/tgw-member/src/cross_domain.rs
@@ -0,0 +1,164 @@
+use crate::{
+    Member,
+    member::{Actions, PUSH_FANOUT, RELAYS_PER_DOMAIN},
+    packet::{Body, Update},
+};
+use rand::{
+    Rng,
+    seq::{IteratorRandom, SliceRandom},
+};
+use smallvec::SmallVec;
+use std::collections::BTreeSet;
+use tgw_clock::Millis;
+use tgw_owner::State;
+use tgw_topology::{Vm, place::Domain};
+
+impl Member {
+    /// Whether this VM is a relay: it keeps contact with other domains and watches the platform for
+    /// its own domain.
+    pub fn is_relay(&self) -> bool {
+        self.relays(self.own_domain()).contains(&self.options.vm)
+    }
+
+    /// Whether this VM watches the platform where each watch has a cost: one VM of each region, since
+    /// relays pass changes on across domains at once, or two where there is only one domain.
+    pub fn follows(&self) -> bool {
+        if self.other_domains().is_empty() {
+            return self.is_relay();
+        }
+        self.is_first_relay() && !self.is_watched_by_other_domain()
+    }
+
+    /// Whether a domain of this region with a lower number, reachable from this one, has a VM that
+    /// reaches the platform.
+    fn is_watched_by_other_domain(&self) -> bool {
+        let own = self.options.place;
+        let unreachable = self.relay.unreachable();
+        let connected =
+            self.records.values().filter(|r| r.member.state.can_own() && !r.member.blind);
+        let mut places = connected.map(|r| r.member.place);
+        places.any(|p| {
+            p.region == own.region && p.domain < own.domain && !unreachable.contains(&p.domain)
+        })
+    }
+
+    /// The number of VMs of this domain that cannot reach the platform.
+    pub fn blind_near(&self) -> usize {
+        let local = self.records.values().filter(|r| r.member.place.domain == self.own_domain());
+        local.filter(|r| r.member.state.can_own() && r.member.blind).count()
+    }
+
+    /// Whether this VM is the first relay of its domain, which summarizes the editions in force in the
+    /// domain.
+    pub(crate) fn is_first_relay(&self) -> bool {
+        self.relays(self.own_domain()).first() == Some(&self.options.vm)
+    }
+
+    /// The relays of a domain: its live VMs with the lowest identities, those that reach the platform
+    /// first.
+    pub(crate) fn relays(&self, domain: Domain) -> SmallVec<[Vm; 2]> {
+        let live = || {
+            let members = self.records.values().filter(move |r| r.member.place.domain == domain);
+            members.filter(|r| r.member.state.can_own())
+        };
+        // The platform may reject some VMs and serve others. If it rejected the relays, their whole
+        // domain would learn of changes late, although its other VMs reach the platform.
+        let connected = live().filter(|r| !r.member.blind);
+        let disconnected = live().filter(|r| r.member.blind);
+        connected.chain(disconnected).map(|r| r.vm).take(RELAYS_PER_DOMAIN).collect()
+    }
+
+    pub(crate) fn set_platform_unreachable(&mut self, unreachable: bool, out: &mut Actions) {
+        if self.platform_unreachable == unreachable {
+            return;
+        }
+        self.platform_unreachable = unreachable;
+        self.incarnation += 1;
+        let own = self.own_record();
+        self.records.insert(own.vm, own.clone());
+        self.changed = true;
+        self.disseminate(Update::Record(own), out);
+    }
+
+    /// Announces newer versions to a few VMs of the domain and, from a relay, to two VMs in each
+    /// other domain.
+    pub(crate) fn push_versions(&mut self, out: &mut Actions) {
+        self.push(PUSH_FANOUT, out);
+        if self.is_relay() {
+            for domain in self.other_domains() {
+                self.send_to_relay(domain, Body::Push, out);
+                self.push_to_any(domain, out);
+            }
+        }
+    }
+
+    /// Pushes to any live VM of another domain. Both relays of that domain may be paused, and until
+    /// that is detected no other VM of the domain would receive the update.
+    fn push_to_any(&mut self, domain: Domain, out: &mut Actions) {
+        let members = self.records.values().filter(|r| r.member.place.domain == domain);
+        let live = members.filter(|r| r.member.state.can_own()).map(|r| r.member.addr);
+        if let Some(addr) = live.choose(&mut self.rng) {
+            self.send(addr, Body::Push, out);
+        }
+    }
+
+    pub(crate) fn other_domains(&self) -> Vec<Domain> {
+        let all = self.records.values().filter(|r| r.member.state != State::Dead);
+        let domains: BTreeSet<Domain> = all.map(|r| r.member.place.domain).collect();
+        domains.into_iter().filter(|d| *d != self.own_domain()).collect()
+    }
+
+    /// Sends a packet to a random relay of another domain.
+    pub(crate) fn send_to_relay(
+        &mut self,
+        domain: Domain,
+        body: Body,
+        out: &mut Actions,
+    ) -> Option<Vm> {
+        let relays = self.relays(domain);
+        let vm = *relays.get(self.rng.random_range(0..relays.len().max(1)))?;
+        let addr = self.addr(vm)?;
+        self.send(addr, body, out);
+        Some(vm)
+    }
+
+    pub(crate) fn relay_tick(&mut self, now: Millis, out: &mut Actions) {
+        if !self.is_relay() {
+            return;
+        }
+        if self.domain_round.is_empty() {
+            self.domain_round = self.other_domains();
+            self.domain_round.shuffle(&mut self.rng);
+        }
+        if let Some(domain) = self.domain_round.pop() {
+            self.relay.ping_sent(now, domain);
+            let seq = self.probes.next_seq();
+            self.send_to_relay(domain, Body::Ping { seq }, out);
+        }
+        for update in self.relay.newly_unreachable(now, self.own_domain()) {
+            self.changed = true;
+            self.disseminate(update, out);
+        }
+        let live: Vec<Vm> = {
+            let local =
+                self.records.values().filter(|r| r.member.place.domain == self.own_domain());
+            local.filter(|r| r.member.state.can_own()).map(|r| r.vm).collect()
+        };
+        if !self.is_first_relay() {
+            return;
+        }
+        if let Some(update) = self.relay.summarize(now, self.own_domain(), &live) {
+            let transmissions = self.transmissions();
+            self.gossip.enqueue(update, transmissions);
+        }
+    }
+
+    pub(crate) fn report_edition(&mut self, out: &mut Actions) {
+        self.relay.record_edition(self.options.vm, self.edition);
+        for vm in self.relays(self.own_domain()) {
+            if let Some(addr) = self.addr(vm).filter(|_| vm != self.options.vm) {
+                self.send(addr, Body::Report, out);
+            }
+        }
+    }
+}
--- a/crates/tgw-member/src/gossip.rs
+++ b/crates/tgw-member/src/gossip.rs
@@ -1,47 +1,47 @@
-use crate::packet::{NEWS, News};
+use crate::packet::{MAX_UPDATES_PER_PACKET, Update};
 use smallvec::SmallVec;
 use std::collections::BTreeMap;
 use tgw_topology::{Vm, place::Domain};
 
-/// What news is about: later news of the same subject replaces the earlier.
+/// The subject of an update; a later update on the same subject replaces the earlier one.
 #[derive(Copy, Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Subject {
     Vm(Vm),
-    Reach(Domain),
-    Force(Domain),
+    Reachability(Domain),
+    Rollout(Domain),
 }
 
-/// News and how often it still has to be told.
+/// Updates to disseminate, each with the number of transmissions left.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Gossip {
-    queue: BTreeMap<Subject, (u32, News)>,
+    queue: BTreeMap<Subject, (u32, Update)>,
 }
 
 impl Gossip {
-    /// Queues news to be told `times`.
-    pub(crate) fn add(&mut self, news: News, times: u32) {
-        let subject = match &news {
-            News::Record(record) => Subject::Vm(record.vm),
-            News::Reach { domain, .. } => Subject::Reach(*domain),
-            News::Force { domain, .. } => Subject::Force(*domain),
+    /// Queues an update to be sent in `transmissions` packets.
+    pub(crate) fn enqueue(&mut self, update: Update, transmissions: u32) {
+        let subject = match &update {
+            Update::Record(record) => Subject::Vm(record.vm),
+            Update::Reachability { domain, .. } => Subject::Reachability(*domain),
+            Update::Rollout { domain, .. } => Subject::Rollout(*domain),
         };
-        self.queue.insert(subject, (times, news));
+        self.queue.insert(subject, (transmissions, update));
     }
 
-    /// Takes news for one packet, what was told least first.
-    pub(crate) fn take(&mut self) -> SmallVec<[News; 2]> {
+    /// Takes the updates for one packet, those with the most transmissions left first.
+    pub(crate) fn take_batch(&mut self) -> SmallVec<[Update; 2]> {
         let mut order: SmallVec<[(u32, Subject); 16]> =
             self.queue.iter().map(|(subject, (left, _))| (*left, *subject)).collect();
         order.sort_unstable_by(|a, b| b.cmp(a));
-        let mut taken = SmallVec::new();
-        for (_, subject) in order.into_iter().take(NEWS) {
-            let Some((left, news)) = self.queue.get_mut(&subject) else { continue };
-            taken.push(news.clone());
+        let mut batch = SmallVec::new();
+        for (_, subject) in order.into_iter().take(MAX_UPDATES_PER_PACKET) {
+            let Some((left, update)) = self.queue.get_mut(&subject) else { continue };
+            batch.push(update.clone());
             *left -= 1;
             if *left == 0 {
                 self.queue.remove(&subject);
             }
         }
-        taken
+        batch
     }
 }
--- a/crates/tgw-member/src/lib.rs
+++ b/crates/tgw-member/src/lib.rs
@@ -1,28 +1,28 @@
-//! Membership: which VMs live, by probes, indirect probes, suspicion and refutation within a failure
-//! domain, and by a few relays between domains.
+//! Membership of the tier: a SWIM-like failure detector (probes, indirect probes, suspicion,
+//! refutation) within each failure domain, and a few relay VMs that connect the domains.
 //!
-//! Performs no I/O: packets and the time go in, packets to send and news come out. The platform's
-//! list of VMs only names addresses to ask first.
+//! Performs no I/O: the caller passes in packets and the time, and sends the packets that come out.
+//! The platform's list of VMs only supplies seed addresses.
 
-/// Comparison of records with another VM.
-mod compare;
-/// Which VMs keep contact between failure domains and with the platform, and how they do.
-mod contact;
-/// News on its way to other VMs, and how often it still has to be told.
+/// Anti-entropy: comparison of all records with another VM.
+mod anti_entropy;
+/// Applies updates received from other VMs.
+mod apply;
+/// Relay VMs: contact with other failure domains and with the platform.
+mod cross_domain;
+/// Probes, suspicion and the final probes before a VM is declared dead.
+mod failure_detector;
+/// Updates queued for other VMs and how many more times each is sent.
 mod gossip;
-/// Judgement of other VMs: probes, suspicion, last tries.
-mod judge;
-/// What a VM makes of what others say of VMs.
-mod learn;
 /// The state machine.
 mod member;
-/// What VMs send one another over UDP.
+/// Packets that VMs exchange over UDP.
 pub mod packet;
-/// Probes of other VMs.
+/// Probes in flight.
 mod probe;
-/// What is known of each VM, and which of two words about it counts.
+/// The record of one VM and which of two records supersedes the other.
 mod record;
-/// Contact between failure domains, and what they have in force.
+/// Reachability of other failure domains and the editions in force in each.
 mod relay;
 
 pub use member::{Action, Event, Force, Member, Options, Stats};
--- a/crates/tgw-member/src/member.rs
+++ b/crates/tgw-member/src/member.rs
@@ -1,7 +1,7 @@
 use crate::{
     Record,
     gossip::Gossip,
-    packet::{Body, News, Packet},
+    packet::{Body, Packet, Update},
     probe::Probes,
     relay::Relay,
 };
@@ -16,64 +16,66 @@
 
 pub use crate::relay::Force;
 
-/// How often one VM of the domain is probed.
-pub(crate) const PERIOD: Millis = Millis::new(300);
-/// How long a suspect has to refute.
-pub(crate) const SUSPICION: Millis = Millis::new(1200);
-/// VMs to which fresh news is pushed at once.
-pub(crate) const PUSH: usize = 3;
-/// VMs of each domain that keep contact with the others.
-pub(crate) const RELAYS: usize = 2;
-/// How often a relay contacts one other domain.
-const RELAY_PERIOD: Millis = Millis::new(250);
-/// How often a dead VM or a seed is tried again, so that a healed partition is noticed.
-const RETRY: Millis = Millis::new(1000);
-/// First time between two tries of a VM that knows no other; doubles up to [`RETRY`]. Where all start at once,
-/// the VMs that are asked first may not have bound their sockets yet: a first packet was lost and the next one
-/// sent a second later, so that 295 VMs knew one another after 1.2 s.
-const JOIN: Millis = Millis::new(100);
+/// How often one VM of the domain is probed; also the time after which an unanswered probe makes its
+/// target a suspect.
+pub(crate) const PROBE_INTERVAL_MS: Millis = Millis::new(300);
+/// How long a suspect has to refute the suspicion.
+pub(crate) const SUSPICION_TIMEOUT_MS: Millis = Millis::new(1200);
+/// The number of VMs to which a new update is pushed at once.
+pub(crate) const PUSH_FANOUT: usize = 3;
+/// The number of VMs in each domain that keep contact with other domains.
+pub(crate) const RELAYS_PER_DOMAIN: usize = 2;
+/// How often a relay pings one other domain.
+const RELAY_INTERVAL_MS: Millis = Millis::new(250);
+/// How often a dead VM or a seed is pinged, so that the end of a partition is detected.
+const RETRY_INTERVAL_MS: Millis = Millis::new(1000);
+/// First interval between join attempts of a VM that knows no other; doubles up to
+/// [`RETRY_INTERVAL_MS`]. Where all VMs start at once, the seeds may not have bound their sockets yet:
+/// with the first packet lost and the next one sent a second later, 295 VMs knew one another only
+/// after 1.2 s.
+const INITIAL_JOIN_INTERVAL_MS: Millis = Millis::new(100);
 /// How often records are compared with those of another VM.
-const COMPARE: Millis = Millis::new(10_000);
-/// How often the edition in force is reported to the relays besides when it changes.
-const REPORT: Millis = Millis::new(2000);
-/// A gap between two ticks that says that this VM was paused.
-const PAUSE: Millis = Millis::new(700);
+const COMPARE_INTERVAL_MS: Millis = Millis::new(10_000);
+/// How often the edition in force is reported to the relays, besides on each change.
+const REPORT_INTERVAL_MS: Millis = Millis::new(2000);
+/// A gap between two ticks from which this VM counts as having been paused.
+const PAUSE_THRESHOLD_MS: Millis = Millis::new(700);
 
-/// Who this VM is.
+/// The identity and settings of this VM.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// This VM.
     pub vm: Vm,
     /// Its configured name.
     pub name: String,
-    /// This life: higher than that of any earlier process of the VM.
+    /// The incarnation of this process: higher than that of any earlier process of the VM.
     pub incarnation: u64,
-    /// Where it lies.
+    /// The region and failure domain of the VM.
     pub place: Place,
-    /// Where its peers reach it.
+    /// The address at which its peers reach it.
     pub addr: SocketAddr,
-    /// Whom to ask first.
+    /// The addresses to join through.
     pub seeds: Vec<SocketAddr>,
-    /// Seed of the choices made at random.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
-/// What the core is told.
+/// An input of the state machine.
 #[derive(Debug)]
 pub enum Event {
-    /// A packet came.
+    /// A packet was received.
     Packet(SocketAddr, Box<Packet>),
-    /// Records came from another VM by comparison.
+    /// Another VM sent its records after a comparison.
     Records(Vec<Record>),
-    /// The platform names VMs to ask.
+    /// The platform has listed seed addresses.
     Seeds(Vec<SocketAddr>),
-    /// This edition of the table is in force here now.
+    /// This edition of the table is in force on this VM.
     Edit(u64),
-    /// The catalog of this version is in use here now.
+    /// The catalog of this version is in use on this VM.
     World(u64),
-    /// The list of evacuated failure domains of this version is in force here now.
+    /// The list of evacuated failure domains of this version is in force on this VM.
     Evacuations(u64),
-    /// This VM cannot reach the platform, or can again.
+    /// Whether this VM cannot reach the platform.
     Blind(bool),
     /// This VM leaves.
     Leave,
@@ -81,7 +83,7 @@
     Tick,
 }
 
-/// What must be done.
+/// An output of the state machine, to be carried out by its caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a packet.
@@ -90,101 +92,104 @@
     Sync(SocketAddr, Vec<Record>),
     /// The directory has changed.
     Changed,
-    /// A VM has a newer edition of the table, a newer catalog or a newer list of evacuations than this one.
+    /// Another VM has a newer edition of the table, a newer catalog or a newer list of evacuations.
     Newer {
-        /// The VM.
+        /// The other VM.
         vm: Vm,
-        /// Where it is reached.
+        /// Its address.
         addr: SocketAddr,
-        /// Its edition.
+        /// Its edition of the table.
         edit: u64,
         /// The version of its catalog.
         world: u64,
         /// The version of its list of evacuated failure domains.
         evacuations: u64,
     },
-    /// This VM was paused: others may have taken over what it owned.
+    /// This VM was paused for this long: other VMs may have taken over its groups.
     Paused(Millis),
 }
 
-/// Counts since the start.
+/// Counters since the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
     /// Packets sent.
     pub sent: u64,
-    /// Times a VM was suspected here first.
+    /// Suspicions that this VM started.
     pub suspected: u64,
-    /// Times a VM was declared dead here first.
+    /// VMs that this VM was the first to declare dead.
     pub declared: u64,
-    /// Times this VM refuted a word about itself.
+    /// Records about this VM that it refuted.
     pub refuted: u64,
 }
 
-/// How long a VM has to refute that it is dead, and how often it was probed a last time.
+/// The deadline for a suspect to refute its suspicion, and the number of final probes sent to it.
 pub(crate) struct Suspicion {
-    pub(crate) until: Millis,
-    pub(crate) probes: u8,
+    pub(crate) deadline: Millis,
+    pub(crate) final_probes: u8,
 }
 
-/// Membership as one VM sees it.
+/// The membership as one VM sees it.
 pub struct Member {
     pub(crate) options: Options,
     pub(crate) incarnation: u64,
     pub(crate) leaving: bool,
-    pub(crate) blind: bool,
-    pub(crate) edit: u64,
-    pub(crate) world: u64,
-    pub(crate) evacuations: u64,
+    pub(crate) platform_unreachable: bool,
+    pub(crate) edition: u64,
+    pub(crate) catalog_version: u64,
+    pub(crate) evacuations_version: u64,
     pub(crate) records: BTreeMap<Vm, Record>,
     pub(crate) suspicions: BTreeMap<Vm, Suspicion>,
-    pub(crate) dead_since: BTreeMap<Vm, Millis>,
+    /// Since when a VM is dead or leaving.
+    pub(crate) departed_since: BTreeMap<Vm, Millis>,
     pub(crate) probes: Probes,
-    pub(crate) round: Vec<Vm>,
+    /// VMs still to be probed in this round.
+    pub(crate) probe_round: Vec<Vm>,
     pub(crate) relay: Relay,
-    pub(crate) foreign_round: Vec<Domain>,
+    /// Domains still to be pinged in this round.
+    pub(crate) domain_round: Vec<Domain>,
     pub(crate) gossip: Gossip,
     pub(crate) rng: SmallRng,
     pub(crate) last_tick: Millis,
     pub(crate) next_probe: Millis,
     pub(crate) next_relay: Millis,
     pub(crate) next_retry: Millis,
-    /// Time until the next try while no other VM is known.
-    pub(crate) join: Millis,
+    /// The interval before the next join attempt while no other VM is known.
+    pub(crate) join_interval: Millis,
     pub(crate) next_compare: Millis,
     pub(crate) next_report: Millis,
     pub(crate) stats: Stats,
     pub(crate) changed: bool,
 }
 
-pub(crate) type Out = Vec<Action>;
+pub(crate) type Actions = Vec<Action>;
 
 impl Member {
-    /// A VM that knows itself and its seeds.
+    /// The state of a VM that knows only itself and its seeds.
     pub fn new(options: Options) -> Self {
         let rng = SmallRng::seed_from_u64(options.seed ^ options.vm.0);
         let mut member = Self {
             incarnation: options.incarnation,
             options,
             leaving: false,
-            blind: false,
-            edit: 0,
-            world: 0,
-            evacuations: 0,
+            platform_unreachable: false,
+            edition: 0,
+            catalog_version: 0,
+            evacuations_version: 0,
             records: BTreeMap::new(),
             suspicions: BTreeMap::new(),
-            dead_since: BTreeMap::new(),
+            departed_since: BTreeMap::new(),
             probes: Probes::default(),
-            round: Vec::new(),
+            probe_round: Vec::new(),
             relay: Relay::default(),
-            foreign_round: Vec::new(),
+            domain_round: Vec::new(),
             gossip: Gossip::default(),
             rng,
             last_tick: Millis::ZERO,
             next_probe: Millis::ZERO,
             next_relay: Millis::ZERO,
             next_retry: Millis::ZERO,
-            join: JOIN,
-            next_compare: COMPARE,
+            join_interval: INITIAL_JOIN_INTERVAL_MS,
+            next_compare: COMPARE_INTERVAL_MS,
             next_report: Millis::ZERO,
             stats: Stats::default(),
             changed: true,
@@ -194,30 +199,30 @@
         member
     }
 
-    /// Counts since the start.
+    /// Counters since the start.
     pub fn stats(&self) -> &Stats {
         &self.stats
     }
 
-    /// The VMs as they are seen now.
+    /// All known VMs and the unreachable domains, as this VM sees them now.
     pub fn directory(&self) -> Directory {
         let members = self.records.iter().map(|(vm, r)| (*vm, r.member.clone())).collect();
-        Directory { members, cut: self.relay.cut() }
+        Directory { members, cut: self.relay.unreachable() }
     }
 
-    /// Since when a VM is taken for dead, or said that it leaves.
+    /// Since when a VM is considered dead or is leaving.
     pub fn dead_since(&self, vm: Vm) -> Option<Millis> {
-        self.dead_since.get(&vm).copied()
+        self.departed_since.get(&vm).copied()
     }
 
-    /// Where a VM is reached.
+    /// The address at which a VM is reached.
     pub fn directory_addr(&self, vm: Vm) -> Option<SocketAddr> {
         self.addr(vm)
     }
 
-    /// What each domain's live VMs have in force, as far as is known.
+    /// The editions in force in each domain, as far as they are known.
     pub fn forces(&self) -> &BTreeMap<Domain, Force> {
-        self.relay.forces()
+        self.relay.rollouts()
     }
 
     /// All records, for comparison with another VM.
@@ -225,26 +230,26 @@
         self.records.values().cloned().collect()
     }
 
-    /// Handles one event at `now` and appends what must be done.
+    /// Handles one event at `now` and appends the resulting actions to `out`.
     pub fn on(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::Packet(addr, packet) => self.packet(now, addr, *packet, out),
-            Event::Records(records) => self.merge(now, records, out),
+            Event::Packet(addr, packet) => self.handle_packet(now, addr, *packet, out),
+            Event::Records(records) => self.merge_records(now, records, out),
             Event::Seeds(seeds) => self.options.seeds = seeds,
-            Event::Edit(edit) => {
-                self.edit = self.edit.max(edit);
-                self.report(out);
-                self.push_edit(out);
+            Event::Edit(edition) => {
+                self.edition = self.edition.max(edition);
+                self.report_edition(out);
+                self.push_versions(out);
             }
-            Event::World(world) => {
-                self.world = self.world.max(world);
-                self.push_edit(out);
+            Event::World(version) => {
+                self.catalog_version = self.catalog_version.max(version);
+                self.push_versions(out);
             }
             Event::Evacuations(version) => {
-                self.evacuations = self.evacuations.max(version);
-                self.push_edit(out);
+                self.evacuations_version = self.evacuations_version.max(version);
+                self.push_versions(out);
             }
-            Event::Blind(blind) => self.set_blind(blind, out),
+            Event::Blind(unreachable) => self.set_platform_unreachable(unreachable, out),
             Event::Leave => self.leave(now, out),
             Event::Tick => self.tick(now, out),
         }
@@ -253,7 +258,7 @@
         }
     }
 
-    pub(crate) fn here(&self) -> Domain {
+    pub(crate) fn own_domain(&self) -> Domain {
         self.options.place.domain
     }
 
@@ -261,23 +266,24 @@
         let state = if self.leaving { State::Leaving } else { State::Alive };
         let Options { name, place, addr, vm, .. } = &self.options;
         let (name, incarnation) = (name.clone(), self.incarnation);
-        let (place, addr, blind) = (*place, *addr, self.blind);
+        let (place, addr, blind) = (*place, *addr, self.platform_unreachable);
         let member = Entry { name, incarnation, place, addr, state, blind };
         Record { vm: *vm, member }
     }
 
-    /// Other VMs of this domain that may answer.
+    /// Other VMs of this domain that are not dead.
     pub(crate) fn neighbours(&self) -> Vec<Vm> {
-        let here = self.here();
-        let near = self.records.values().filter(|r| r.member.place.domain == here);
-        near.filter(|r| r.member.state != State::Dead && r.vm != self.options.vm)
+        let own_domain = self.own_domain();
+        let local = self.records.values().filter(|r| r.member.place.domain == own_domain);
+        local
+            .filter(|r| r.member.state != State::Dead && r.vm != self.options.vm)
             .map(|r| r.vm)
             .collect()
     }
 
-    /// How often a piece of news is told by one VM: enough to reach all of the domain, and from a
-    /// relay all domains besides.
-    pub(crate) fn times(&self) -> u32 {
+    /// How many packets of one VM carry an update: enough to reach every VM of the domain and, from a
+    /// relay, all other domains as well.
+    pub(crate) fn transmissions(&self) -> u32 {
         let count = self.neighbours().len() as u32 + 2;
         let domains: BTreeSet<Domain> =
             self.records.values().map(|r| r.member.place.domain).collect();
@@ -289,130 +295,153 @@
         self.records.get(&vm).map(|r| r.member.addr)
     }
 
-    pub(crate) fn send(&mut self, to: SocketAddr, body: Body, out: &mut Out) {
+    pub(crate) fn send(&mut self, to: SocketAddr, body: Body, out: &mut Actions) {
         self.stats.sent += 1;
-        let news = self.gossip.take();
-        let Self { edit, world, evacuations, .. } = *self;
-        let packet = Packet { from: self.options.vm, edit, world, evacuations, body, news };
+        let updates = self.gossip.take_batch();
+        let Self { edition, catalog_version, evacuations_version, .. } = *self;
+        let packet = Packet {
+            from: self.options.vm,
+            edition,
+            catalog_version,
+            evacuations_version,
+            body,
+            updates,
+        };
         out.push(Action::Send(to, Box::new(packet)));
     }
 
-    fn packet(&mut self, now: Millis, addr: SocketAddr, packet: Packet, out: &mut Out) {
-        let Packet { from, edit, world, evacuations, body, news } = packet;
-        let stranger = !self.records.contains_key(&from);
-        self.heard(now, from, out);
-        for item in news {
-            self.news(now, item, out);
+    fn handle_packet(&mut self, now: Millis, addr: SocketAddr, packet: Packet, out: &mut Actions) {
+        let Packet { from, edition, catalog_version, evacuations_version, body, updates } = packet;
+        let unknown = !self.records.contains_key(&from);
+        self.packet_received(now, from, out);
+        for update in updates {
+            self.apply_update(now, update, out);
         }
-        if edit > self.edit || world > self.world || evacuations > self.evacuations {
-            out.push(Action::Newer { vm: from, addr, edit, world, evacuations });
+        if edition > self.edition
+            || catalog_version > self.catalog_version
+            || evacuations_version > self.evacuations_version
+        {
+            out.push(Action::Newer {
+                vm: from,
+                addr,
+                edit: edition,
+                world: catalog_version,
+                evacuations: evacuations_version,
+            });
         }
         match body {
-            Body::Ping { seq } => self.answer_ping(from, stranger, addr, seq, out),
+            Body::Ping { seq } => self.answer_ping(from, unknown, addr, seq, out),
             Body::Join { seq } => self.answer_ping(from, true, addr, seq, out),
-            Body::Ack { seq } => self.acknowledged(seq, out),
+            Body::Ack { seq } => self.handle_ack(seq, out),
             Body::Indirect { seq, target } => {
-                let own = self.probes.next();
-                self.probes.relayed.insert(own, (addr, seq, now));
-                self.send(target, Body::Ping { seq: own }, out);
+                let own_seq = self.probes.next_seq();
+                self.probes.relayed.insert(own_seq, (addr, seq, now));
+                self.send(target, Body::Ping { seq: own_seq }, out);
             }
-            Body::Report => self.relay.report(from, edit),
+            Body::Report => self.relay.record_edition(from, edition),
             Body::Hashes(theirs) => self.compare(addr, &theirs, out),
             Body::Push => {}
         }
     }
 
-    fn heard(&mut self, now: Millis, from: Vm, out: &mut Out) {
+    fn packet_received(&mut self, now: Millis, from: Vm, out: &mut Actions) {
         let Some(domain) = self.records.get(&from).map(|r| r.member.place.domain) else { return };
-        if domain == self.here() {
+        if domain == self.own_domain() {
             return;
         }
-        if let Some(news) = self.relay.heard(now, self.here(), domain) {
-            self.spread(news, out);
+        if let Some(update) = self.relay.packet_received(now, self.own_domain(), domain) {
+            self.disseminate(update, out);
             self.changed = true;
         }
     }
 
-    fn answer_ping(&mut self, from: Vm, stranger: bool, addr: SocketAddr, seq: u64, out: &mut Out) {
-        // A VM that counts as dead or suspect here must hear of it to refute it; one that is not
-        // known must learn who this is.
+    fn answer_ping(
+        &mut self,
+        from: Vm,
+        unknown: bool,
+        addr: SocketAddr,
+        seq: u64,
+        out: &mut Actions,
+    ) {
+        // A sender that is suspect or dead here must receive that record to refute it; an unknown
+        // sender needs the record of this VM.
         let known = self.records.get(&from).cloned();
         match known {
             Some(record) if record.member.state != State::Alive => {
-                self.gossip.add(News::Record(record), 1);
+                self.gossip.enqueue(Update::Record(record), 1);
             }
             Some(_) => {}
-            None => self.gossip.add(News::Record(self.own_record()), 1),
+            None => self.gossip.enqueue(Update::Record(self.own_record()), 1),
         }
         self.send(addr, Body::Ack { seq }, out);
-        // A VM that joins needs every record; the news it is told meanwhile is only what is new.
-        if stranger {
+        // A joining VM needs every record; updates alone carry only recent changes.
+        if unknown {
             out.push(Action::Sync(addr, self.records()));
         }
     }
 
-    fn acknowledged(&mut self, seq: u64, out: &mut Out) {
-        self.probes.open.remove(&seq);
-        if let Some((addr, theirs, _)) = self.probes.relayed.remove(&seq) {
-            self.send(addr, Body::Ack { seq: theirs }, out);
+    fn handle_ack(&mut self, seq: u64, out: &mut Actions) {
+        self.probes.in_flight.remove(&seq);
+        if let Some((addr, requester_seq, _)) = self.probes.relayed.remove(&seq) {
+            self.send(addr, Body::Ack { seq: requester_seq }, out);
         }
     }
 
-    fn leave(&mut self, now: Millis, out: &mut Out) {
+    fn leave(&mut self, now: Millis, out: &mut Actions) {
         self.leaving = true;
         self.incarnation += 1;
         let own = self.own_record();
         self.records.insert(own.vm, own.clone());
         self.changed = true;
-        let times = self.times();
-        self.gossip.add(News::Record(own), times.max(self.records.len() as u32));
-        // A few lost packets must not hide the leaving: every neighbour is told, and a relay of each
-        // other domain.
-        let near = self.neighbours().len();
-        self.push(near.min(16), out);
-        for domain in self.foreign_domains() {
-            self.contact(domain, Body::Push, out);
+        let transmissions = self.transmissions();
+        self.gossip.enqueue(Update::Record(own), transmissions.max(self.records.len() as u32));
+        // A few lost packets must not hide that this VM leaves: up to 16 neighbours and a relay of each
+        // other domain are informed at once.
+        let neighbours = self.neighbours().len();
+        self.push(neighbours.min(16), out);
+        for domain in self.other_domains() {
+            self.send_to_relay(domain, Body::Push, out);
         }
         self.next_probe = now;
     }
 
-    fn retry_gap(&mut self) -> Millis {
+    fn next_retry_interval(&mut self) -> Millis {
         if self.records.len() > 1 {
-            return RETRY;
+            return RETRY_INTERVAL_MS;
         }
-        let gap = self.join;
-        self.join = (gap + gap).min(RETRY);
-        gap
+        let interval = self.join_interval;
+        self.join_interval = (interval + interval).min(RETRY_INTERVAL_MS);
+        interval
     }
 
-    fn tick(&mut self, now: Millis, out: &mut Out) {
+    fn tick(&mut self, now: Millis, out: &mut Actions) {
         let gap = now - self.last_tick;
-        if self.last_tick > Millis::ZERO && gap >= PAUSE {
-            self.resume(now, gap, out);
+        if self.last_tick > Millis::ZERO && gap >= PAUSE_THRESHOLD_MS {
+            self.resume_after_pause(now, gap, out);
         }
         self.last_tick = now;
         self.check_probes(now, out);
-        self.check_suspects(now, out);
+        self.check_suspicions(now, out);
         if now >= self.next_probe {
-            self.next_probe = now + PERIOD;
+            self.next_probe = now + PROBE_INTERVAL_MS;
             self.probe_neighbour(now, out);
         }
         if now >= self.next_relay {
-            self.next_relay = now + RELAY_PERIOD;
-            self.relay_turn(now, out);
+            self.next_relay = now + RELAY_INTERVAL_MS;
+            self.relay_tick(now, out);
         }
         if now >= self.next_report {
-            self.next_report = now + REPORT;
-            self.report(out);
+            self.next_report = now + REPORT_INTERVAL_MS;
+            self.report_edition(out);
         }
         if now >= self.next_retry {
-            self.next_retry = now + self.retry_gap();
-            self.retry(out);
+            self.next_retry = now + self.next_retry_interval();
+            self.retry_dead_and_seeds(out);
         }
         if now >= self.next_compare {
-            self.next_compare = now + COMPARE;
-            self.start_compare(out);
-            self.forget(now);
+            self.next_compare = now + COMPARE_INTERVAL_MS;
+            self.start_comparison(out);
+            self.evict_departed(now);
         }
     }
 }
--- a/crates/tgw-member/src/probe.rs
+++ b/crates/tgw-member/src/probe.rs
@@ -2,39 +2,39 @@
 use tgw_clock::Millis;
 use tgw_topology::Vm;
 
-/// One probe under way.
+/// One probe in flight.
 #[derive(Clone, Debug)]
 pub(crate) struct Probe {
     pub(crate) target: Vm,
-    pub(crate) sent: Millis,
-    /// Third VMs were asked to try.
+    pub(crate) sent_at: Millis,
+    /// Indirect probes were requested from third VMs.
     pub(crate) indirect: bool,
-    /// The target lies in another domain: silence says something of the way, not of the VM.
-    pub(crate) foreign: bool,
+    /// The target is in another domain: a timeout points to the network path, not to the VM.
+    pub(crate) cross_domain: bool,
 }
 
-/// Probes under way, and pings made for others.
+/// Probes in flight, and pings sent on behalf of other VMs.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Probes {
-    pub(crate) open: BTreeMap<u64, Probe>,
-    /// Pings made on request: whom to pass the acknowledgement on to, with its number there.
+    pub(crate) in_flight: BTreeMap<u64, Probe>,
+    /// Pings sent on request: the requester's address, its sequence number and the start time.
     pub(crate) relayed: BTreeMap<u64, (SocketAddr, u64, Millis)>,
     seq: u64,
 }
 
 impl Probes {
-    pub(crate) fn next(&mut self) -> u64 {
+    pub(crate) fn next_seq(&mut self) -> u64 {
         self.seq += 1;
         self.seq
     }
 
-    pub(crate) fn start(&mut self, now: Millis, target: Vm, foreign: bool) -> u64 {
-        let seq = self.next();
-        self.open.insert(seq, Probe { target, sent: now, indirect: false, foreign });
+    pub(crate) fn start(&mut self, now: Millis, target: Vm, cross_domain: bool) -> u64 {
+        let seq = self.next_seq();
+        self.in_flight.insert(seq, Probe { target, sent_at: now, indirect: false, cross_domain });
         seq
     }
 
-    pub(crate) fn forget_relayed(&mut self, now: Millis, age: Millis) {
+    pub(crate) fn expire_relayed(&mut self, now: Millis, age: Millis) {
         self.relayed.retain(|_, (_, _, since)| now - *since < age);
     }
 }
--- a/crates/tgw-member/src/record.rs
+++ b/crates/tgw-member/src/record.rs
@@ -8,25 +8,25 @@
 pub struct Record {
     /// The VM.
     pub vm: Vm,
-    /// Its life, place, address and state.
+    /// Its incarnation, place, address and state.
     pub member: Member,
 }
 
 impl Record {
-    /// Whether this word counts more than `other`, which is about the same VM: a later life or
-    /// refutation does, and within one the graver state.
+    /// Whether this record supersedes `other`, which is about the same VM: a higher incarnation (a
+    /// restart or a refutation) does, and within one incarnation the more severe state.
     pub fn supersedes(&self, other: &Self) -> bool {
-        let life = self.member.incarnation.cmp(&other.member.incarnation);
-        match life {
-            Ordering::Equal => gravity(self.member.state) > gravity(other.member.state),
+        let incarnation = self.member.incarnation.cmp(&other.member.incarnation);
+        match incarnation {
+            Ordering::Equal => severity(self.member.state) > severity(other.member.state),
             order => order == Ordering::Greater,
         }
     }
 }
 
-/// A state may be followed only by a graver one, unless the VM itself refutes it with a higher
-/// incarnation.
-fn gravity(state: State) -> u8 {
+/// Within one incarnation only a more severe state may follow; the VM itself refutes a state with a
+/// higher incarnation.
+fn severity(state: State) -> u8 {
     match state {
         State::Alive => 0,
         State::Suspect => 1,
--- a/crates/tgw-member/src/relay.rs
+++ b/crates/tgw-member/src/relay.rs
@@ -1,135 +1,169 @@
-use crate::packet::News;
+use crate::packet::Update;
 use std::collections::{BTreeMap, BTreeSet};
 use tgw_clock::Millis;
 use tgw_topology::{Vm, place::Domain};
 
-/// Silence of all relays of a domain, though they were asked, until it counts as cut off.
-const CUT: Millis = Millis::new(2000);
+/// A domain is unreachable after its relays have left pings unanswered for this long.
+const UNREACHABLE_TIMEOUT_MS: Millis = Millis::new(2000);
 
-/// How long VMs may be behind before others are told.
-const LASTING: Millis = Millis::new(2000);
+/// How long VMs may be behind before other domains are informed.
+const LAG_REPORT_DELAY_MS: Millis = Millis::new(2000);
 
-/// Contact with one other domain.
+/// Reachability of one other domain.
 #[derive(Clone, Debug, Default)]
-struct Contact {
-    /// When a VM of it last answered or sent something of its own.
-    heard: Millis,
-    /// Since when it has been asked without an answer.
-    asked: Option<Millis>,
-    cut: bool,
+struct Reachability {
+    /// When a VM of the domain last answered or sent a packet of its own.
+    last_received: Millis,
+    /// When the oldest unanswered ping was sent.
+    unanswered_since: Option<Millis>,
+    unreachable: bool,
     stamp: u64,
 }
 
-/// What other domains have in force.
+/// A summary of the editions in force at the VMs of one domain.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Force {
     /// The lowest edition in force at any live VM.
     pub edit: u64,
-    /// How many VMs are below the highest known there.
+    /// The number of VMs below the domain's highest edition.
     pub behind: u16,
-    /// One of these.
+    /// One of the VMs that are behind.
     pub example: Option<Vm>,
     pub(crate) stamp: u64,
 }
 
-/// Contact between failure domains, and what they have in force.
+/// Reachability of other failure domains, and the editions in force in each domain.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Relay {
-    contacts: BTreeMap<Domain, Contact>,
-    forces: BTreeMap<Domain, Force>,
-    /// Editions in force at the VMs of this domain, as they reported.
-    reports: BTreeMap<Vm, u64>,
-    /// Since when some VM of this domain has been behind another.
+    reachability: BTreeMap<Domain, Reachability>,
+    rollouts: BTreeMap<Domain, Force>,
+    /// Editions in force at the VMs of this domain, as they reported them.
+    editions: BTreeMap<Vm, u64>,
+    /// Since when any VM of this domain has been behind another.
     behind_since: Option<Millis>,
 }
 
 impl Relay {
-    /// A packet came from another domain. News if that domain counted as cut off.
-    pub(crate) fn heard(&mut self, now: Millis, here: Domain, domain: Domain) -> Option<News> {
-        let contact = self.contacts.entry(domain).or_default();
-        contact.heard = now;
-        contact.asked = None;
-        if !std::mem::take(&mut contact.cut) {
+    /// Records a packet from another domain. Returns an update if the domain was unreachable.
+    pub(crate) fn packet_received(
+        &mut self,
+        now: Millis,
+        own_domain: Domain,
+        domain: Domain,
+    ) -> Option<Update> {
+        let state = self.reachability.entry(domain).or_default();
+        state.last_received = now;
+        state.unanswered_since = None;
+        if !std::mem::take(&mut state.unreachable) {
             return None;
         }
-        contact.stamp += 1;
-        Some(News::Reach { seen_from: here, domain, cut: false, stamp: contact.stamp })
+        state.stamp += 1;
+        Some(Update::Reachability {
+            seen_from: own_domain,
+            domain,
+            unreachable: false,
+            stamp: state.stamp,
+        })
     }
 
-    pub(crate) fn asked(&mut self, now: Millis, domain: Domain) {
-        self.contacts.entry(domain).or_default().asked.get_or_insert(now);
+    pub(crate) fn ping_sent(&mut self, now: Millis, domain: Domain) {
+        self.reachability.entry(domain).or_default().unanswered_since.get_or_insert(now);
     }
 
-    /// Domains that have just become cut off.
-    pub(crate) fn newly_cut(&mut self, now: Millis, here: Domain) -> Vec<News> {
-        let mut news = Vec::new();
-        for (domain, contact) in &mut self.contacts {
-            let silent = contact.asked.is_some_and(|since| now - since >= CUT);
-            if silent && !contact.cut && now - contact.heard >= CUT {
-                contact.cut = true;
-                contact.stamp += 1;
-                let stamp = contact.stamp;
-                news.push(News::Reach { seen_from: here, domain: *domain, cut: true, stamp });
+    /// Domains that have just become unreachable.
+    pub(crate) fn newly_unreachable(&mut self, now: Millis, own_domain: Domain) -> Vec<Update> {
+        let mut updates = Vec::new();
+        for (domain, state) in &mut self.reachability {
+            let unanswered =
+                state.unanswered_since.is_some_and(|since| now - since >= UNREACHABLE_TIMEOUT_MS);
+            if unanswered
+                && !state.unreachable
+                && now - state.last_received >= UNREACHABLE_TIMEOUT_MS
+            {
+                state.unreachable = true;
+                state.stamp += 1;
+                let stamp = state.stamp;
+                updates.push(Update::Reachability {
+                    seen_from: own_domain,
+                    domain: *domain,
+                    unreachable: true,
+                    stamp,
+                });
             }
         }
-        news
+        updates
     }
 
-    /// Takes a relay's word on a domain; true if it is news.
-    pub(crate) fn told_reach(&mut self, domain: Domain, cut: bool, stamp: u64) -> bool {
-        let contact = self.contacts.entry(domain).or_default();
-        if stamp <= contact.stamp {
+    /// Applies a relay's report on a domain; true if it is newer than what is known.
+    pub(crate) fn apply_reachability(
+        &mut self,
+        domain: Domain,
+        unreachable: bool,
+        stamp: u64,
+    ) -> bool {
+        let state = self.reachability.entry(domain).or_default();
+        if stamp <= state.stamp {
             return false;
         }
-        contact.stamp = stamp;
-        contact.cut = cut;
-        contact.asked = None;
+        state.stamp = stamp;
+        state.unreachable = unreachable;
+        state.unanswered_since = None;
         true
     }
 
-    pub(crate) fn cut(&self) -> BTreeSet<Domain> {
-        self.contacts.iter().filter(|(_, c)| c.cut).map(|(domain, _)| *domain).collect()
+    pub(crate) fn unreachable(&self) -> BTreeSet<Domain> {
+        self.reachability.iter().filter(|(_, r)| r.unreachable).map(|(domain, _)| *domain).collect()
     }
 
-    pub(crate) fn report(&mut self, vm: Vm, edit: u64) {
-        self.reports.insert(vm, edit);
+    pub(crate) fn record_edition(&mut self, vm: Vm, edition: u64) {
+        self.editions.insert(vm, edition);
     }
 
-    pub(crate) fn forces(&self) -> &BTreeMap<Domain, Force> {
-        &self.forces
+    pub(crate) fn rollouts(&self) -> &BTreeMap<Domain, Force> {
+        &self.rollouts
     }
 
-    pub(crate) fn told_force(&mut self, domain: Domain, force: Force) -> bool {
-        let newer = self.forces.get(&domain).is_none_or(|f| force.stamp > f.stamp);
+    pub(crate) fn apply_rollout(&mut self, domain: Domain, rollout: Force) -> bool {
+        let newer = self.rollouts.get(&domain).is_none_or(|r| rollout.stamp > r.stamp);
         if newer {
-            self.forces.insert(domain, force);
+            self.rollouts.insert(domain, rollout);
         }
         newer
     }
 
-    /// What this domain has in force, over its `live` VMs; news if it changed.
-    pub(crate) fn sum_up(&mut self, now: Millis, here: Domain, live: &[Vm]) -> Option<News> {
-        self.reports.retain(|vm, _| live.contains(vm));
-        let of = |vm: &Vm| self.reports.get(vm).copied().unwrap_or(0);
-        let edit = live.iter().map(of).min()?;
-        let highest = live.iter().map(of).max()?;
-        let late: Vec<Vm> = live.iter().filter(|vm| of(vm) < highest).copied().collect();
-        let old = self.forces.get(&here);
-        let stamp = old.map_or(0, |f| f.stamp) + 1;
-        let force =
-            Force { edit, behind: late.len() as u16, example: late.first().copied(), stamp };
-        // While an edition spreads, the number of VMs behind changes with each report. It is told only
-        // once the lowest edition has changed, or some have been behind for a while.
-        let lasting = self.behind_since.is_some_and(|since| now - since >= LASTING);
-        let same = old.is_some_and(|o| {
-            o.edit == force.edit && (o.behind == force.behind || (force.behind > 0 && !lasting))
+    /// Summarizes the editions in force at this domain's `live` VMs; an update if that changed.
+    pub(crate) fn summarize(
+        &mut self,
+        now: Millis,
+        own_domain: Domain,
+        live: &[Vm],
+    ) -> Option<Update> {
+        self.editions.retain(|vm, _| live.contains(vm));
+        let edition_of = |vm: &Vm| self.editions.get(vm).copied().unwrap_or(0);
+        let lowest_edition = live.iter().map(edition_of).min()?;
+        let highest = live.iter().map(edition_of).max()?;
+        let behind: Vec<Vm> = live.iter().filter(|vm| edition_of(vm) < highest).copied().collect();
+        let old = self.rollouts.get(&own_domain);
+        let stamp = old.map_or(0, |r| r.stamp) + 1;
+        let rollout = Force {
+            edit: lowest_edition,
+            behind: behind.len() as u16,
+            example: behind.first().copied(),
+            stamp,
+        };
+        // While an edition spreads, the number of VMs behind changes with each report. An update is
+        // sent only once the lowest edition changes or VMs have been behind for a while.
+        let lasting = self.behind_since.is_some_and(|since| now - since >= LAG_REPORT_DELAY_MS);
+        let unchanged = old.is_some_and(|o| {
+            o.edit == rollout.edit
+                && (o.behind == rollout.behind || (rollout.behind > 0 && !lasting))
         });
-        self.behind_since = (force.behind > 0).then(|| self.behind_since.unwrap_or(now));
-        if same {
+        self.behind_since = (rollout.behind > 0).then(|| self.behind_since.unwrap_or(now));
+        if unchanged {
             return None;
         }
-        let Force { edit, behind, example, stamp } = force.clone();
-        self.forces.insert(here, force);
-        Some(News::Force { domain: here, edit, behind, example, stamp })
+        let Force { edit: lowest_edition, behind, example, stamp } = rollout.clone();
+        self.rollouts.insert(own_domain, rollout);
+        Some(Update::Rollout { domain: own_domain, lowest_edition, behind, example, stamp })
     }
 }
--- a/crates/tgw-owner/src/directory.rs
+++ b/crates/tgw-owner/src/directory.rs
@@ -1,4 +1,4 @@
-//! The VMs that are known and what is believed of them.
+//! The known VMs and their states.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
@@ -8,69 +8,70 @@
 };
 use tgw_topology::{Place, Vm, place::Domain};
 
-/// What is believed of a VM.
+/// The state of a VM as the failure detector sees it.
 #[derive(
     Copy, Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// It answers.
+    /// It answers probes.
     #[display("alive")]
     Alive,
-    /// It does not answer, but may yet refute that.
+    /// It does not answer probes, but can still refute the suspicion.
     #[display("suspect")]
     Suspect,
-    /// It has said that it leaves: it finishes what it has and owns nothing.
+    /// It has announced that it leaves: it finishes its requests in flight and owns no groups.
     #[display("leaving")]
     Leaving,
-    /// It has not refuted its suspicion in time, or has left.
+    /// It did not refute its suspicion in time, or has left.
     #[display("dead")]
     Dead,
 }
 
 impl State {
-    /// Whether the VM may own groups. A suspect may: taking its groups away on every lost packet
-    /// would move ownership back and forth.
-    pub fn owns(self) -> bool {
+    /// Whether the VM may own groups. A suspect may: if each lost packet took its groups away,
+    /// ownership would move back and forth.
+    pub fn can_own(self) -> bool {
         matches!(self, Self::Alive | Self::Suspect)
     }
 }
 
-/// One VM.
+/// One VM of the tier.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Member {
     /// Its configured name.
     pub name: String,
-    /// Its life: a restart of the VM has a higher one.
+    /// Rises with each restart of the VM and each change of its state that it announces.
     pub incarnation: u64,
-    /// Where it lies.
+    /// Its region and failure domain.
     pub place: Place,
-    /// Where its peers reach it, UDP and TCP.
+    /// The address, UDP and TCP, at which its peers reach it.
     pub addr: SocketAddr,
-    /// What is believed of it.
+    /// Its state.
     pub state: State,
-    /// It cannot reach the platform, and says so. Traces recorded before do not hold it.
+    /// The VM reports that it cannot reach the platform. Defaults to false for recorded traces that
+    /// lack it.
     #[serde(default)]
     pub blind: bool,
 }
 
-/// All VMs that are known.
+/// All known VMs.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Directory {
-    /// VMs by identity.
+    /// The VMs by identity.
     pub members: BTreeMap<Vm, Member>,
-    /// Failure domains that cannot be reached from here.
+    /// Failure domains that cannot be reached from this VM.
     pub cut: BTreeSet<Domain>,
 }
 
 impl Directory {
-    /// The VMs that may own groups, of the domains that can be reached.
+    /// The VMs that may own groups, in the domains that can be reached.
     pub fn owners(&self) -> impl Iterator<Item = (Vm, &Member)> {
-        let usable = |m: &&Member| m.state.owns() && !self.cut.contains(&m.place.domain);
+        let usable = |m: &&Member| m.state.can_own() && !self.cut.contains(&m.place.domain);
         self.members.iter().map(|(vm, m)| (*vm, m)).filter(move |(_, m)| usable(m))
     }
 
-    /// The VMs that have said that they leave and have not gone yet.
+    /// The VMs that have announced that they leave and are not yet considered dead.
     pub fn leaving(&self) -> impl Iterator<Item = (Vm, &Member)> {
         let leaving = |m: &&Member| m.state == State::Leaving;
         self.members.iter().map(|(vm, m)| (*vm, m)).filter(move |(_, m)| leaving(m))
--- a/crates/tgw-owner/src/lib.rs
+++ b/crates/tgw-owner/src/lib.rs
@@ -1,13 +1,14 @@
-//! Which VM dispatches to which replica group.
+//! Assigns each replica group to the VM that dispatches to it.
 //!
-//! Rendezvous hashing over the live VMs of the group's failure domain names one owner and one
-//! stand-in. Where a domain has no live VM, those of its region are ranked, then all others, so
-//! that a domain of one VM is covered by its neighbours and handed back when it returns.
+//! Rendezvous hashing over the live VMs of the group's failure domain selects one owner and one
+//! stand-in. Where a domain has too few live VMs, those of its region are ranked next, then all
+//! others: neighbours take over the groups of a domain whose only VM fails and hand them back when
+//! it returns.
 
-/// The VMs that are known and what is believed of them.
+/// The known VMs and their states.
 pub mod directory;
-/// Owners of groups.
+/// Owners of groups by rendezvous hashing.
 mod map;
 
 pub use directory::{Directory, Member, State};
-pub use map::{Hash, Map};
+pub use map::{Map, Score};
