--- a/crates/tgw-route/src/config.rs
+++ b/crates/tgw-route/src/config.rs
@@ -1,4 +1,4 @@
-//! One version of the configuration.
+//! One version of the operators' configuration.
 
 use crate::Residency;
 use derive_more::Display;
@@ -9,38 +9,38 @@
 /// One version of the operators' configuration.
 #[derive(Clone, Debug, Default)]
 pub struct Config {
-    /// Its version; later versions have higher numbers, not always by one.
+    /// The version number; it rises, not always by one.
     pub version: u64,
     /// All routes.
     pub routes: Vec<Rc<Route>>,
     /// All services by name.
     pub services: BTreeMap<Rc<str>, Service>,
-    /// What callers may send.
+    /// Limits on callers' requests and connections.
     pub limits: Limits,
 }
 
-/// Where a request goes and what may be done with it.
+/// The target of matching requests and the rules for sending them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Route {
-    /// The route's name.
+    /// The name of the route.
     pub name: Rc<str>,
-    /// The host that callers name.
+    /// The host of the requests that it matches.
     pub host: Rc<str>,
-    /// The beginning of the paths it takes; begins and ends with a slash.
+    /// The path prefix of the requests that it matches; begins and ends with a slash.
     pub prefix: Rc<str>,
-    /// Where its requests go.
+    /// The destination of its requests.
     pub target: Target,
     /// Whether a request may run more than once.
     pub safety: Safety,
-    /// The longest time that a caller is kept waiting.
+    /// The longest time that a caller waits for a response.
     pub timeout: Millis,
-    /// The time within which an answer is worth most to its caller.
+    /// The target latency: an answer within this time has its full value to the caller.
     pub aim: Millis,
-    /// The most upstreams that one request is sent to, for each shard.
+    /// The maximum number of upstreams that one request is sent to, for each shard.
     pub attempts: u32,
-    /// Its rank; zero is the most urgent.
+    /// The priority of its requests; zero is the highest.
     pub priority: u32,
-    /// Where its requests may be served.
+    /// The regions in which its requests may be served.
     pub residency: Residency,
 }
 
@@ -55,61 +55,61 @@
     Once,
 }
 
-/// Where the requests of a route go.
+/// The destination of the requests of a route.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Target {
-    /// To one service.
+    /// One service.
     One(Rc<str>),
-    /// To one of several services, each with its weight.
+    /// One of several services, selected by weight.
     Weighted(Vec<(Rc<str>, f64)>),
-    /// To every shard.
+    /// Every shard.
     Shards(Shards),
 }
 
-/// The shards of a route, each a service, and how their parts become one answer.
+/// The shards of a route, each a service, and the rules for merging their parts into one answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Shards {
     /// The services.
     pub services: Vec<Rc<str>>,
-    /// The number of records that an answer holds at most.
+    /// The maximum number of records in an answer.
     pub limit: usize,
-    /// The least share of the shards (0 to 1) that a success holds.
+    /// The minimum share of the shards (0 to 1) that a successful answer contains.
     pub least: f64,
 }
 
-/// What the operators say of a service.
+/// A service's settings.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Service {
-    /// Connections that one of its upstreams accepts from all callers together.
+    /// The number of connections that each upstream accepts from all callers together.
     pub connections: u32,
-    /// What its upstreams bear until they are warm.
+    /// The load that its upstreams accept until they are warm.
     pub warmup: Warmup,
 }
 
-/// What an upstream bears while it is cold.
+/// The load that an upstream accepts while it is cold.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Warmup {
-    /// How long it is cold after its start.
+    /// How long an upstream is cold after its start.
     pub span: Millis,
-    /// Requests a second that it bears meanwhile; zero where it states none.
+    /// Requests per second that it accepts while cold; zero if not stated.
     pub rate: f64,
 }
 
-/// What callers may send.
+/// Limits on callers' requests and connections.
 #[derive(Copy, Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Largest request head, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub head: usize,
-    /// Largest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body: usize,
-    /// Time for a request's head.
+    /// Time allowed for receiving a request head.
     pub head_timeout: Millis,
-    /// Time that a kept connection may stay idle.
+    /// How long a keep-alive connection may stay idle.
     pub idle_timeout: Millis,
 }
 
 impl Default for Limits {
-    /// What holds until the first configuration is known: the values common for HTTP servers.
+    /// Limits until the first configuration is known: values common for HTTP servers.
     fn default() -> Self {
         Self {
             head: 16 << 10,
--- a/crates/tgw-route/src/lib.rs
+++ b/crates/tgw-route/src/lib.rs
@@ -1,18 +1,18 @@
-//! Routes: which service, weighted services or set of shards a caller's request goes to.
+//! Routes: the service, weighted services or set of shards that a caller's request is sent to.
 //!
-//! A [`Config`] is one version of the operators' configuration, already checked. A [`Table`] finds
-//! the route of a request in it; a [`Share`] deals requests out by weight. No I/O.
+//! A [`Config`] is one validated version of the operators' configuration. A [`Table`] finds the
+//! route of a request in it; a [`Share`] distributes requests by weight. Performs no I/O.
 
 /// One version of the configuration: routes, services and limits.
 pub mod config;
-/// Where requests may be served.
+/// The regions in which requests may be served.
 mod residency;
-/// Dealing requests out by weight.
-mod share;
-/// Finding the route of a request.
+/// Smooth weighted round robin over services.
+mod round_robin;
+/// Route lookup by host and path.
 mod table;
 
 pub use config::{Config, Limits, Route, Safety, Service, Target, Warmup};
 pub use residency::Residency;
-pub use share::Share;
+pub use round_robin::Share;
 pub use table::Table;
--- a/crates/tgw-route/src/residency.rs
+++ b/crates/tgw-route/src/residency.rs
@@ -2,17 +2,18 @@
 use smallvec::SmallVec;
 use std::rc::Rc;
 
-/// The regions in which requests may be served, cached and stored, their bodies included; none named: everywhere.
+/// The regions in which requests, including their bodies, may be served, cached and stored. An empty
+/// list allows all regions.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Residency(SmallVec<[Rc<str>; 2]>);
 
 impl Residency {
-    /// Whether a request may be sent into a region; `None` where the region is not known.
+    /// Whether a request may be sent to a region; `None` is an unknown region.
     pub fn admits(&self, region: Option<&str>) -> bool {
         self.is_free() || region.is_some_and(|region| self.0.iter().any(|home| **home == *region))
     }
 
-    /// Whether no region is named.
+    /// Whether all regions are allowed.
     pub fn is_free(&self) -> bool {
         self.0.is_empty()
     }
--- a/crates/tgw-route/src/table.rs
+++ b/crates/tgw-route/src/table.rs
@@ -1,15 +1,15 @@
 use crate::{Config, Route};
 use std::{collections::HashMap, rc::Rc};
 
-/// Finds the route of a request.
+/// Finds the route of a request by host and path.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
-    /// The routes of each host, the longest prefixes first.
+    /// The routes of each host, longest prefix first.
     hosts: HashMap<Rc<str>, Vec<Rc<Route>>>,
 }
 
 impl Table {
-    /// The table of a configuration.
+    /// Builds the table of a configuration.
     pub fn new(config: &Config) -> Self {
         let mut hosts: HashMap<Rc<str>, Vec<Rc<Route>>> = HashMap::new();
         for route in &config.routes {
@@ -21,8 +21,8 @@
         Self { hosts }
     }
 
-    /// The route of `host` with the longest prefix that begins `path`. A port in `host` does not
-    /// count, and letters match in either case, as in HTTP.
+    /// The route of `host` with the longest prefix of `path`. A port in `host` is ignored, and the host
+    /// is compared without regard to case, as in HTTP.
     pub fn find(&self, host: &str, path: &str) -> Option<&Rc<Route>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let routes = match self.hosts.get(name) {
--- a/crates/tgw-route/tests/route.rs
+++ b/crates/tgw-route/tests/route.rs
@@ -1,4 +1,4 @@
-//! Tests of routes.
+//! Tests of route lookup and weighted round robin.
 
 #![allow(clippy::expect_used, clippy::unwrap_used, clippy::panic)] // A test fails by panic.
 
@@ -36,31 +36,32 @@
 #[test_case("A.Example:8080", "/x/y/", Some("deep"); "case and port of the host")]
 #[test_case("b.example", "/y/", None; "no prefix of the host")]
 #[test_case("c.example", "/x/", None; "no such host")]
-fn finds(host: &str, path: &str, expected: Option<&str>) {
+fn finds_route_by_host_and_path(host: &str, path: &str, expected: Option<&str>) {
     assert_eq!(table().find(host, path).map(|r| &*r.name), expected);
 }
 
-// Operators give one of three services a tenth of the requests. Dealt out at random, some second of
-// the day would give it a quarter, and its upstreams would turn requests away.
+// Guards against random selection: a service with a tenth of the weight would sometimes receive a
+// quarter of the requests within one second, and its upstreams would reject some of them.
 #[test]
 fn every_prefix_of_the_sequence_is_close_to_the_weights() {
     let weights: [(Rc<str>, f64); 3] = [("a".into(), 0.6), ("b".into(), 0.3), ("c".into(), 0.1)];
     let mut share = Share::default();
     let mut counts = [0.0; 3];
-    for dealt in 1..=1000 {
+    for sent in 1..=1000 {
         let service = share.next(&weights).unwrap();
         let index = weights.iter().position(|w| w.0 == service).unwrap();
         counts[index] += 1.0;
         for (count, (_, weight)) in counts.iter().zip(&weights) {
-            assert!((count - weight * f64::from(dealt)).abs() <= 1.0, "{counts:?} of {dealt}");
+            assert!((count - weight * f64::from(sent)).abs() <= 1.0, "{counts:?} of {sent}");
         }
     }
 }
 
-// The weights change a little with each version of the configuration. If each began the sequence
-// anew, the service with the greatest weight would get the first request each time.
+// Guards against lost credits when the weights change slightly with each version of the
+// configuration. If each version restarted the sequence, the service with the greatest weight would
+// receive the first request every time.
 #[test]
-fn new_weights_keep_what_is_owed() {
+fn changed_weights_keep_credits() {
     let mut share = Share::default();
     let mut small = 0;
     for version in 0..100 {
@@ -72,6 +73,6 @@
 }
 
 #[test]
-fn no_weight_is_no_service() {
+fn zero_weight_selects_no_service() {
     assert_eq!(Share::default().next(&[("a".into(), 0.0)]), None);
 }
