--- a/crates/tgw-ring/src/lib.rs
+++ b/crates/tgw-ring/src/lib.rs
@@ -1,7 +1,7 @@
-//! Bounded rings that join the duty threads. A full ring is reported to the sender, who decides
-//! what to do; nothing is ever queued without bound.
+//! Bounded queues between worker threads. A full queue returns the value to its sender, which decides
+//! what to do with it, so that no queue grows without bound.
 
-/// The two ends of a ring.
+/// The sender and the receiver of a bounded queue.
 mod ring;
 
 pub use ring::{Receiver, Sender, pair};
--- a/crates/tgw-ring/src/ring.rs
+++ b/crates/tgw-ring/src/ring.rs
@@ -12,13 +12,13 @@
     refused: AtomicU64,
 }
 
-/// The sending end; any number of duties may hold one.
+/// The sending end; it can be cloned for any number of workers.
 pub struct Sender<T>(Arc<Shared<T>>);
 
-/// The receiving end; one duty holds it.
+/// The receiving end, held by one worker.
 pub struct Receiver<T>(Arc<Shared<T>>);
 
-/// A ring that holds up to `capacity` values.
+/// Creates a bounded queue of `capacity` values, at least one.
 pub fn pair<T>(capacity: usize) -> (Sender<T>, Receiver<T>) {
     let shared = Arc::new(Shared {
         queue: ArrayQueue::new(capacity.max(1)),
@@ -36,7 +36,7 @@
 }
 
 impl<T> Sender<T> {
-    /// Puts a value in; gives it back if the ring is full or its receiver gone.
+    /// Enqueues a value; returns it if the queue is full or its receiver was dropped.
     pub fn push(&self, value: T) -> Result<(), T> {
         if self.0.closed.load(Ordering::Acquire) {
             return Err(value);
@@ -53,36 +53,36 @@
         }
     }
 
-    /// Values that wait.
+    /// The number of queued values.
     pub fn len(&self) -> usize {
         self.0.queue.len()
     }
 
-    /// Whether nothing waits.
+    /// Whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.0.queue.is_empty()
     }
 
-    /// Values that a full ring refused since the start.
+    /// The number of values rejected so far because the queue was full.
     pub fn refused(&self) -> u64 {
         self.0.refused.load(Ordering::Relaxed)
     }
 }
 
 impl<T> Receiver<T> {
-    /// Takes the oldest value without waiting.
+    /// Removes the oldest value without waiting.
     pub fn pop(&self) -> Option<T> {
         self.0.queue.pop()
     }
 
-    /// Waits until a value may be there; it may also return without one.
+    /// Waits until a value may be available; wakeups may be spurious.
     pub async fn ready(&self) {
         if self.0.queue.is_empty() {
             self.0.ready.notified().await;
         }
     }
 
-    /// Waits for the oldest value.
+    /// Waits for a value and removes the oldest.
     pub async fn recv(&self) -> T {
         loop {
             if let Some(value) = self.pop() {
--- a/crates/tgw-topology/src/catalog.rs
+++ b/crates/tgw-topology/src/catalog.rs
@@ -3,27 +3,27 @@
 use smallvec::SmallVec;
 use std::{collections::BTreeMap, net::SocketAddr};
 
-/// The replicas of a shard, nearly always three.
+/// The replicas of a shard, usually three.
 pub type Replicas = SmallVec<[Upstream; 4]>;
 
-/// One upstream as the platform describes it.
+/// One upstream, as the platform describes it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Node {
-    /// Its number.
+    /// The upstream's number.
     pub id: Upstream,
-    /// The service it serves.
+    /// The service that it serves.
     pub service: Service,
     /// Its instance; zero for a service without instances.
     pub instance: u16,
-    /// Where it lies.
+    /// Its region and failure domain.
     pub place: Place,
-    /// Where it listens.
+    /// The address that it listens on.
     pub addr: SocketAddr,
-    /// Requests it works on at once.
+    /// The number of requests that it processes concurrently.
     pub slots: u16,
-    /// Connections it accepts from all VMs together.
+    /// The number of connections that it accepts from all VMs together.
     pub connections: u16,
-    /// The platform says that it is leaving.
+    /// Whether the platform marks it as leaving.
     #[serde(default)]
     pub leaving: bool,
 }
@@ -35,39 +35,39 @@
     }
 }
 
-/// One partitioning: the replicas of each shard.
+/// One layout: the replicas of each shard.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Partition {
-    /// Its number.
+    /// The layout's number.
     pub id: Layout,
     /// Replicas by shard number.
     pub shards: Vec<Replicas>,
 }
 
-/// One service: its snapshots and layouts.
+/// One service with its snapshots and layouts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its number.
+    /// The service's number.
     pub id: Service,
-    /// The name that callers use.
+    /// The name by which callers address it.
     pub name: String,
-    /// Snapshots that may be served, newest first.
+    /// The snapshots that may be served, newest first.
     pub snapshots: Vec<Snapshot>,
-    /// Every layout that a snapshot names.
+    /// The layouts of these snapshots.
     pub layouts: Vec<Partition>,
 }
 
-/// A version of the platform's store; zero before anything was read.
+/// A version of the platform's store; zero before the first read.
 pub type Version = u64;
 
-/// One service with its upstreams, as it is kept in one object and sent between VMs.
+/// One service with its upstreams: the unit that is stored in one object and sent between VMs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Part {
     /// The service.
     pub entry: Entry,
     /// Its upstreams.
     pub upstreams: Vec<Node>,
-    /// The version of the store in which it last changed.
+    /// The version of the store in which the service last changed.
     #[serde(default)]
     pub changed: Version,
 }
@@ -75,9 +75,9 @@
 /// All services and upstreams.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Catalog {
-    /// The version of the store that it is as new as.
+    /// The version of the store that it reflects.
     pub version: Version,
-    /// When each service last changed.
+    /// The version of the store in which each service last changed.
     pub changed: BTreeMap<Service, Version>,
     /// Services by number.
     pub services: BTreeMap<Service, Entry>,
@@ -86,17 +86,17 @@
 }
 
 impl Catalog {
-    /// The service that callers know as `name`.
+    /// The service that callers address as `name`.
     pub fn service(&self, name: &str) -> Option<&Entry> {
         self.services.values().find(|s| s.name == name)
     }
 
-    /// The partition that a snapshot of `service` names.
+    /// The layout of a service, by its number.
     pub fn partition(&self, service: Service, layout: Layout) -> Option<&Partition> {
         self.services.get(&service)?.layouts.iter().find(|l| l.id == layout)
     }
 
-    /// The replicas of one shard; empty when the layout does not have it.
+    /// The replicas of one shard; empty if the layout lacks the shard.
     pub fn replicas(&self, service: Service, layout: Layout, shard: Shard) -> &[Upstream] {
         self.partition(service, layout)
             .and_then(|p| p.shards.get(usize::from(shard.0)))
@@ -115,68 +115,72 @@
         newer.map(part).collect()
     }
 
-    /// Takes parts in that are newer than what is known; true if any was.
+    /// Merges services that are newer than the known ones; true if anything changed.
     pub fn merge(&mut self, version: Version, parts: Vec<Part>) -> bool {
-        let mut news = false;
+        let mut updated = false;
         for part in parts {
             let id = part.entry.id;
             let known = self.changed.get(&id).copied().unwrap_or(0);
             if part.changed <= known && self.services.contains_key(&id) {
                 continue;
             }
-            news = true;
+            updated = true;
             self.upstreams.retain(|_, u| u.service != id);
             self.upstreams.extend(part.upstreams.into_iter().map(|u| (u.id, u)));
             self.services.insert(id, part.entry);
             self.changed.insert(id, part.changed);
         }
-        news |= version > self.version;
+        updated |= version > self.version;
         self.version = self.version.max(version);
-        news
+        updated
     }
 }
 
-/// One replica group, as the catalog describes it.
+/// One replica group of a catalog.
 #[derive(Clone, Debug)]
-pub struct Members {
-    /// Its upstreams.
+pub struct GroupEntry {
+    /// The upstreams of the group.
     pub upstreams: SmallVec<[Upstream; 4]>,
-    /// Those that the platform does not call leaving.
+    /// The number of upstreams that are not leaving.
     pub staying: u16,
-    /// Slots of all of them.
+    /// The total number of requests that the upstreams process concurrently.
     pub slots: u32,
-    /// Where they lie.
+    /// Their region and failure domain.
     pub place: Place,
 }
 
-/// The replica groups of a catalog, for look-ups on the way of each query.
+/// The replica groups of a catalog, indexed for a lookup on each query.
 #[derive(Clone, Debug, Default)]
 pub struct Index {
-    groups: BTreeMap<Group, Members>,
+    groups: BTreeMap<Group, GroupEntry>,
 }
 
 impl Index {
-    /// The groups of `catalog`.
+    /// Indexes the groups of `catalog`.
     pub fn new(catalog: &Catalog) -> Self {
-        let mut groups: BTreeMap<Group, Members> = BTreeMap::new();
+        let mut groups: BTreeMap<Group, GroupEntry> = BTreeMap::new();
         for node in catalog.upstreams.values() {
-            let empty =
-                || Members { upstreams: SmallVec::new(), staying: 0, slots: 0, place: node.place };
-            let members = groups.entry(node.group()).or_insert_with(empty);
-            members.upstreams.push(node.id);
-            members.slots += u32::from(node.slots);
-            members.staying += u16::from(!node.leaving);
+            let empty = || GroupEntry {
+                upstreams: SmallVec::new(),
+                staying: 0,
+                slots: 0,
+                place: node.place,
+            };
+            let group = groups.entry(node.group()).or_insert_with(empty);
+            group.upstreams.push(node.id);
+            group.slots += u32::from(node.slots);
+            group.staying += u16::from(!node.leaving);
         }
         Self { groups }
     }
 
     /// One group.
-    pub fn get(&self, group: Group) -> Option<&Members> {
+    pub fn get(&self, group: Group) -> Option<&GroupEntry> {
         self.groups.get(&group)
     }
 
     /// All groups.
-    pub fn iter(&self) -> impl Iterator<Item = (Group, &Members)> {
-        self.groups.iter().map(|(group, members)| (*group, members))
+    pub fn iter(&self) -> impl Iterator<Item = (Group, &GroupEntry)> {
+        self.groups.iter().map(|(group, entry)| (*group, entry))
     }
 }
--- a/crates/tgw-topology/src/id.rs
+++ b/crates/tgw-topology/src/id.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A VM of the tier: the hash of its configured name, so that it fits a frame.
+/// A VM of the tier: the hash of its configured name, which has a fixed size in frames.
 #[derive(
     Copy, Clone, Debug, Display, From, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -11,7 +11,7 @@
 pub struct Vm(pub u64);
 
 impl Vm {
-    /// The identity of the VM configured as `name`.
+    /// The identity of the VM with this configured name.
     pub fn named(name: &str) -> Self {
         Self(xxh3_64(name.as_bytes()))
     }
@@ -45,7 +45,7 @@
 #[display("{_0}")]
 pub struct Layout(pub u32);
 
-/// An index version under a layout; answers never mix two of them. Ordered oldest first.
+/// An index version in one layout; an answer never mixes two snapshots. Ordered oldest first.
 #[derive(
     Copy, Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -53,23 +53,23 @@
 pub struct Snapshot {
     /// The index version.
     pub version: u32,
-    /// The layout that it is partitioned by.
+    /// The layout that partitions it.
     pub layout: Layout,
 }
 
-/// A search, unique over all VMs and their restarts: a VM's incarnation and a counter.
+/// A query, unique over all VMs and their restarts: a VM's incarnation and a counter.
 #[derive(
     Copy, Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[display("{incarnation:x}-{number:x}")]
 pub struct Query {
-    /// The incarnation of the VM that took the query in.
+    /// The incarnation of the VM that accepted the query.
     pub incarnation: u64,
-    /// The query's number within it.
+    /// The query's number within that incarnation.
     pub number: u64,
 }
 
-/// A non-idempotent request: the service and the hash of the caller's key.
+/// A non-idempotent request: the service and the hash of the caller's idempotency key.
 #[derive(
     Copy, Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -77,12 +77,12 @@
 pub struct Order {
     /// The service that the order is for.
     pub service: Service,
-    /// 128 bits of the caller's idempotency key.
+    /// The 128-bit hash of the caller's idempotency key.
     pub key: u128,
 }
 
-/// A replica group: the upstreams of one instance of a service within one failure domain. It has
-/// one owner among the VMs and one queue.
+/// A replica group: the upstreams of one instance of a service within one failure domain. One VM
+/// owns it and holds its queue.
 #[derive(
     Copy, Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -90,7 +90,7 @@
 pub struct Group {
     /// The service that the upstreams belong to.
     pub service: Service,
-    /// The instance; zero for a service that has none.
+    /// The instance; zero for a service without instances.
     pub instance: u16,
     /// The failure domain.
     pub domain: Domain,
--- a/crates/tgw-topology/src/lib.rs
+++ b/crates/tgw-topology/src/lib.rs
@@ -1,13 +1,13 @@
-//! What the tier knows of the world it serves: services, shards, replicas, upstreams, VMs and the
-//! regions and failure domains they lie in. Plain values, no behaviour that decides anything.
+//! The topology that the tier serves: services, shards, replicas, upstreams, VMs, and their regions
+//! and failure domains. Data types only, without decision logic.
 
 /// Services, layouts and upstreams as the platform's objects describe them.
 pub mod catalog;
-/// Identities that travel in frames and logs.
+/// Identities used in frames and logs.
 mod id;
 /// Regions and failure domains.
 pub mod place;
-/// Bytes that are text in formats for people.
+/// Serialization of bytes as text in human-readable formats.
 pub mod text;
 
 pub use catalog::Catalog;
--- a/crates/tgw-topology/src/place.rs
+++ b/crates/tgw-topology/src/place.rs
@@ -10,14 +10,14 @@
 #[display("r{_0}")]
 pub struct Region(pub u8);
 
-/// A failure domain, by a number unique over all regions.
+/// A failure domain, by a number that is unique across regions.
 #[derive(
     Copy, Clone, Debug, Display, From, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[display("d{_0}")]
 pub struct Domain(pub u8);
 
-/// Where a VM or an upstream lies.
+/// The location of a VM or an upstream.
 #[derive(
     Copy, Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -25,11 +25,11 @@
 pub struct Place {
     /// The region.
     pub region: Region,
-    /// The failure domain within it.
+    /// The failure domain within the region.
     pub domain: Domain,
 }
 
-/// One-way network delays in milliseconds by how far two places lie apart.
+/// One-way network delays in milliseconds, by the distance between two places.
 #[derive(Copy, Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Distance {
     /// Within a failure domain.
--- a/crates/tgw-topology/src/text.rs
+++ b/crates/tgw-topology/src/text.rs
@@ -1,9 +1,10 @@
-//! Bytes that are text in formats for people and bytes in others; for `#[serde(with = ...)]`.
+//! Serialization of bytes as text in human-readable formats and as bytes in others, for
+//! `#[serde(with = ...)]`.
 
 use bytes::Bytes;
 use serde::{Deserialize, Deserializer, Serializer, de, ser};
 
-/// Writes `bytes`. Errors: the format is for people and the bytes are not UTF-8.
+/// Serializes `bytes`; fails if the format is human-readable and the bytes are not UTF-8.
 pub fn serialize<S: Serializer>(bytes: &Bytes, serializer: S) -> Result<S::Ok, S::Error> {
     if !serializer.is_human_readable() {
         return serializer.serialize_bytes(bytes);
@@ -14,7 +15,7 @@
     }
 }
 
-/// Reads bytes.
+/// Deserializes bytes.
 pub fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Bytes, D::Error> {
     if deserializer.is_human_readable() {
         return String::deserialize(deserializer).map(Bytes::from);
