--- a/crates/tgw-tail/src/average.rs
+++ b/crates/tgw-tail/src/average.rs
@@ -1,24 +1,24 @@
-/// An exponentially weighted average of milliseconds.
+/// An exponentially weighted moving average, in milliseconds.
 #[derive(Copy, Clone, Debug)]
 pub struct Average {
     value: f64,
     weight: f64,
-    seen: bool,
+    has_sample: bool,
 }
 
 impl Average {
-    /// An average that starts at `start` and gives each later sample `weight` (0 to 1).
-    pub fn new(start: f64, weight: f64) -> Self {
-        Self { value: start, weight, seen: false }
+    /// An average that starts at `initial` and gives each sample after the first `weight` (0 to 1).
+    pub fn new(initial: f64, weight: f64) -> Self {
+        Self { value: initial, weight, has_sample: false }
     }
 
-    /// Takes one sample in; the first replaces the starting value.
+    /// Adds one sample; the first replaces the initial value.
     pub fn add(&mut self, sample: f64) {
-        if self.seen {
+        if self.has_sample {
             self.value += self.weight * (sample - self.value);
         } else {
             self.value = sample;
-            self.seen = true;
+            self.has_sample = true;
         }
     }
 
--- a/crates/tgw-tail/src/budget.rs
+++ b/crates/tgw-tail/src/budget.rs
@@ -1,31 +1,32 @@
-/// Tokens earned as a share of useful requests and spent on extra ones.
+/// A token budget for extra requests, earned in proportion to useful requests.
 #[derive(Clone, Debug)]
 pub struct Budget {
     tokens: f64,
-    share: f64,
+    ratio: f64,
     burst: f64,
 }
 
 impl Budget {
-    /// A budget of `share` extra requests for each useful one, saved up to `burst`; starts full.
-    pub fn new(share: f64, burst: f64) -> Self {
-        Self { tokens: burst, share, burst }
+    /// A budget that earns `ratio` tokens for each useful request and saves up to `burst` tokens.
+    /// Starts full.
+    pub fn new(ratio: f64, burst: f64) -> Self {
+        Self { tokens: burst, ratio, burst }
     }
 
-    /// Sets the share, as after an edit of the table.
-    pub fn set_share(&mut self, share: f64) {
-        self.share = share;
+    /// Sets the ratio of extra to useful requests, which a new edition of the table may change.
+    pub fn set_share(&mut self, ratio: f64) {
+        self.ratio = ratio;
     }
 
-    /// Earns for one useful request.
+    /// Earns tokens for one useful request.
     pub fn earn(&mut self) {
-        self.tokens = (self.tokens + self.share).min(self.burst);
+        self.tokens = (self.tokens + self.ratio).min(self.burst);
     }
 
-    /// Spends one token; false leaves the budget as it is.
+    /// Spends one token; false if less than one token is left.
     pub fn spend(&mut self) -> bool {
-        // A fleet that has lost half its replicas answers each failure with a retry and so doubles
-        // its own load. Tokens come only from useful requests, so extra ones stay a fixed share.
+        // Without this limit, a fleet that has lost half its replicas retries each failure and doubles
+        // its own load. Tokens come only from useful requests, so that extra ones stay a fixed share.
         let enough = self.tokens >= 1.0;
         if enough {
             self.tokens -= 1.0;
--- a/crates/tgw-tail/src/hedge.rs
+++ b/crates/tgw-tail/src/hedge.rs
@@ -1,74 +1,78 @@
 use crate::Budget;
 use tgw_clock::Millis;
 
-/// How strongly one hedge raises the delay; completions lower it in proportion to the target.
-const GAIN: f64 = 0.04;
-/// The part of the budget that late requests are steered to. Some of them end or find no free
-/// upstream before they are hedged, so that a little more than all leaves the budget unbound.
-const AIM: f64 = 1.05;
-/// Hedges that may be saved up for a burst of stragglers.
-const BURST: f64 = 12.0;
-const LEAST_AIM: f64 = 0.005;
-const MOST_AIM: f64 = 0.1;
-const START_MS: f64 = 30.0;
-const LEAST_MS: f64 = 1.0;
-const MOST_MS: f64 = 2000.0;
+/// How strongly one late request raises the delay; each request lowers it in proportion to the target
+/// fraction of late requests.
+const DELAY_GAIN: f64 = 0.04;
+/// The target fraction of late requests, as a multiple of the allowed ratio of hedges. Some late
+/// requests end or find no free upstream before they are hedged, so that slightly more than 1 lets
+/// the whole budget be used.
+const LATE_FRACTION_FACTOR: f64 = 1.05;
+/// The number of hedges that may be saved for a burst of stragglers.
+const BURST_HEDGES: f64 = 12.0;
+const MIN_LATE_FRACTION: f64 = 0.005;
+const MAX_LATE_FRACTION: f64 = 0.1;
+const INITIAL_DELAY_MS: f64 = 30.0;
+const MIN_DELAY_MS: f64 = 1.0;
+const MAX_DELAY_MS: f64 = 2000.0;
 
-/// Finds the age at which a running request is hedged.
+/// Determines the delay after which a request in flight is hedged.
 ///
-/// The delay follows the quantile of the requests' running times that leaves a set part of the allowed
-/// share above it: each late request raises it, each request lowers it, and the two balance there
-/// (stochastic approximation of a quantile). The budget behind it is a hard bound.
+/// The delay follows a quantile of the requests' running times (stochastic approximation): each late
+/// request raises it and each request lowers it, so that it settles where the target fraction of
+/// requests is late. The budget is a hard limit on top.
 #[derive(Clone, Debug)]
 pub struct Hedge {
-    delay: f64,
-    share: f64,
+    delay_ms: f64,
+    ratio: f64,
     budget: Budget,
 }
 
 impl Hedge {
-    /// `share` is the extra load allowed, as a part of all requests (0.03 for 3%).
-    pub fn new(share: f64) -> Self {
-        Self { delay: START_MS, share, budget: Budget::new(share, BURST) }
+    /// `ratio` is the allowed extra load as a fraction of all requests (0.03 for 3%).
+    pub fn new(ratio: f64) -> Self {
+        Self { delay_ms: INITIAL_DELAY_MS, ratio, budget: Budget::new(ratio, BURST_HEDGES) }
     }
 
-    /// Begins with a delay of `start` instead of the usual one.
-    pub fn starting(self, start: Millis) -> Self {
-        Self { delay: start.as_f64().max(LEAST_MS), ..self }
+    /// Replaces the default initial delay.
+    pub fn starting(self, initial: Millis) -> Self {
+        Self { delay_ms: initial.as_f64().max(MIN_DELAY_MS), ..self }
     }
 
-    /// Sets the allowed share, as after an edit of the table.
-    pub fn set_share(&mut self, share: f64) {
-        self.share = share;
-        self.budget.set_share(share);
+    /// Sets the allowed extra load, which a new edition of the table may change.
+    pub fn set_share(&mut self, ratio: f64) {
+        self.ratio = ratio;
+        self.budget.set_share(ratio);
     }
 
-    /// Counts one request that was not a hedge.
+    /// Records one request that is not a hedge.
     pub fn request(&mut self) {
         self.budget.earn();
-        self.delay = (self.delay * (-GAIN * self.aim()).exp()).max(LEAST_MS);
+        self.delay_ms =
+            (self.delay_ms * (-DELAY_GAIN * self.late_fraction()).exp()).max(MIN_DELAY_MS);
     }
 
-    /// The part of the requests that should become late. Without a budget there still is one: being
-    /// late also tells stragglers apart.
-    fn aim(&self) -> f64 {
-        (self.share * AIM).clamp(LEAST_AIM, MOST_AIM)
+    /// The target fraction of late requests. It is positive even without a budget, since late requests
+    /// also identify stragglers.
+    fn late_fraction(&self) -> f64 {
+        (self.ratio * LATE_FRACTION_FACTOR).clamp(MIN_LATE_FRACTION, MAX_LATE_FRACTION)
     }
 
-    /// The age at which a request is late.
+    /// The age from which a request is late.
     pub fn delay(&self) -> Millis {
-        Millis::from_f64(self.delay)
+        Millis::from_f64(self.delay_ms)
     }
 
-    /// Counts one request that has just become late, whether or not it can be hedged.
+    /// Records one request that has just become late, whether or not it can be hedged.
     pub fn late(&mut self) {
-        // Raised by hedges alone, the delay of a group where none can be placed would sink until
-        // every request counted as late and every upstream as a straggler.
-        self.delay = (self.delay * (GAIN * (1.0 - self.aim())).exp()).min(MOST_MS);
+        // If only hedges raised it, the delay of a group that has no upstream for hedges would fall
+        // until every request was late and every upstream a straggler.
+        self.delay_ms =
+            (self.delay_ms * (DELAY_GAIN * (1.0 - self.late_fraction())).exp()).min(MAX_DELAY_MS);
     }
 
-    /// Takes one hedge from the budget for a late request; false if there is none to take.
+    /// Spends one hedge of the budget on a late request; false if the budget is exhausted or zero.
     pub fn fire(&mut self) -> bool {
-        self.share > 0.0 && self.budget.spend()
+        self.ratio > 0.0 && self.budget.spend()
     }
 }
--- a/crates/tgw-tail/src/lib.rs
+++ b/crates/tgw-tail/src/lib.rs
@@ -1,11 +1,11 @@
-//! Control of tail latency: when a running request is late enough for a second one, and how much
-//! extra load that may cost.
+//! Tail latency control: the delay after which a request in flight is hedged, and the budget for the
+//! extra load.
 
 /// Exponentially weighted averages.
 mod average;
 /// Token budgets for hedges and retries.
 mod budget;
-/// The age at which a request is hedged.
+/// The hedging delay and its budget.
 mod hedge;
 
 pub use average::Average;
