--- a/crates/tgw-table/src/adopt.rs
+++ b/crates/tgw-table/src/adopt.rs
@@ -1,16 +1,16 @@
-//! Adoption of editions by a VM: upwards only.
+//! Adoption of newer editions by a VM.
 
 use crate::{Document, Edit, document::Delta};
 use std::sync::Arc;
 
-/// What became of an edition that was offered.
+/// The result of offering an edition.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It is in force now.
+    /// The edition is in force now.
     Adopted,
-    /// The one in force is as new or newer.
+    /// The edition in force is the same or newer.
     Stale,
-    /// A delta that does not connect to the edition in force: the whole document is needed.
+    /// The delta starts above the edition in force: the whole document is needed.
     Gap,
 }
 
@@ -21,21 +21,21 @@
 }
 
 impl State {
-    /// The edition in force; `None` before the first, when nothing may be served.
+    /// The edition in force; `None` before the first one, when no request may be served.
     pub fn document(&self) -> Option<&Arc<Document>> {
         self.document.as_ref()
     }
 
-    /// The number of the edition in force; zero before the first.
+    /// The number of the edition in force; zero before the first one.
     pub fn edit(&self) -> Edit {
         self.document.as_ref().map_or(0, |d| d.edit)
     }
 
     /// Offers a whole document, from the platform or a peer.
     pub fn offer(&mut self, document: Document) -> Outcome {
-        // A slow platform replica, a replayed watch or a peer from the other side of a partition
-        // can hand over an older edition after a newer one: an accepted edit would revert. Editions
-        // are numbered by conditional updates of one object, so comparing numbers is enough.
+        // A slow platform replica, a replayed watch or a peer from the other side of a partition can
+        // deliver an older edition after a newer one, which would revert an accepted edit. Editions
+        // are numbered by conditional updates of one object, so comparing numbers is sufficient.
         if document.edit <= self.edit() {
             return Outcome::Stale;
         }
--- a/crates/tgw-table/src/diff.rs
+++ b/crates/tgw-table/src/diff.rs
@@ -1,4 +1,4 @@
-//! What differs between two editions.
+//! Differences between two editions.
 
 use crate::{Document, row::COLUMNS};
 use derive_more::Display;
@@ -7,13 +7,13 @@
 /// One difference.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum Change {
-    /// The row stands only in the newer edition.
+    /// The row exists only in the newer edition.
     #[display("+ {service}")]
     Added {
         /// The service.
         service: String,
     },
-    /// The row stands only in the older edition.
+    /// The row exists only in the older edition.
     #[display("- {service}")]
     Removed {
         /// The service.
@@ -33,13 +33,13 @@
     },
 }
 
-/// The changes that lead from `old` to `new`, by service.
+/// The changes from `old` to `new`, ordered by service.
 pub fn between(old: &Document, new: &Document) -> Vec<Change> {
     let services: BTreeSet<&String> = old.rows.keys().chain(new.rows.keys()).collect();
-    services.into_iter().flat_map(|s| of_service(s, old, new)).collect()
+    services.into_iter().flat_map(|s| service_changes(s, old, new)).collect()
 }
 
-fn of_service(service: &str, old: &Document, new: &Document) -> Vec<Change> {
+fn service_changes(service: &str, old: &Document, new: &Document) -> Vec<Change> {
     let service = service.to_owned();
     match (old.rows.get(&service), new.rows.get(&service)) {
         (None, Some(_)) => vec![Change::Added { service }],
--- a/crates/tgw-table/src/document.rs
+++ b/crates/tgw-table/src/document.rs
@@ -4,39 +4,39 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The platform holds values up to a megabyte; some of it is left for the envelope.
-pub const LIMIT_BYTES: usize = 1_000_000;
+/// The platform's limit for a value is one megabyte; the rest is reserved for the envelope.
+pub const MAX_DOCUMENT_BYTES: usize = 1_000_000;
 
-/// The number of an accepted edition; each accepted edit is one more than the last.
+/// The number of an accepted edition; each accepted edit raises it by one.
 pub type Edit = u64;
 
 /// One edition of the table.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Document {
-    /// The edition.
+    /// The number of the edition.
     pub edit: Edit,
     /// Rows by service name.
     pub rows: BTreeMap<String, Row>,
-    /// Services whose row was taken out, and in which edition.
+    /// Services whose rows were removed, with the edition that removed them.
     #[serde(default)]
     pub removed: BTreeMap<String, Edit>,
 }
 
-/// What brings an older edition up to a newer one.
+/// The difference that updates an older edition to a newer one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Delta {
-    /// The edition that it applies to, or any later one below `edit`.
+    /// The lowest edition that it applies to; it also applies to later ones below `edit`.
     pub since: Edit,
-    /// The edition that results.
+    /// The resulting edition.
     pub edit: Edit,
-    /// Rows that changed.
+    /// Rows that were added or changed.
     pub rows: Vec<Row>,
-    /// Rows that were taken out.
+    /// Services whose rows were removed, with the edition that removed them.
     pub removed: BTreeMap<String, Edit>,
 }
 
 impl Document {
-    /// Reads CSV text with a header. Errors: every finding of the whole text.
+    /// Parses CSV text with a header; on failure, returns every validation error of the text.
     pub fn from_csv(text: &str) -> Result<Self, Vec<Finding>> {
         let mut findings = Vec::new();
         let mut reader =
@@ -49,20 +49,20 @@
         let mut rows = BTreeMap::new();
         for record in reader.records() {
             match record {
-                Ok(record) => read_line(&header, &record, &mut rows, &mut findings),
-                Err(e) => findings.push(unreadable(&e)),
+                Ok(record) => parse_line(&header, &record, &mut rows, &mut findings),
+                Err(e) => findings.push(csv_error(&e)),
             }
         }
         let document = Self { edit: 0, rows, removed: BTreeMap::new() };
         let bytes = serde_json::to_vec(&document).map_or(usize::MAX, |v| v.len());
-        if bytes > LIMIT_BYTES {
-            let kind = Kind::Size { bytes, limit: LIMIT_BYTES };
+        if bytes > MAX_DOCUMENT_BYTES {
+            let kind = Kind::Size { bytes, limit: MAX_DOCUMENT_BYTES };
             findings.push(Finding { row: 0, column: String::new(), kind });
         }
         if findings.is_empty() { Ok(document) } else { Err(findings) }
     }
 
-    /// The CSV text that operators edit.
+    /// Writes the CSV text that operators edit.
     pub fn to_csv(&self) -> String {
         let mut out = COLUMNS.join(",") + "\n";
         for row in self.rows.values() {
@@ -72,13 +72,13 @@
         out
     }
 
-    /// The edition that follows this one when operators ask for `wanted`.
+    /// The edition that follows this one when operators apply `wanted`.
     pub fn next(&self, wanted: &Self) -> Self {
         let edit = self.edit + 1;
         let mut rows = wanted.rows.clone();
         for row in rows.values_mut() {
             let old = self.rows.get(&row.service);
-            row.changed = old.filter(|o| o.same(row)).map_or(edit, |o| o.changed);
+            row.changed = old.filter(|o| o.has_same_fields(row)).map_or(edit, |o| o.changed);
         }
         let mut removed = self.removed.clone();
         removed.retain(|service, _| !rows.contains_key(service));
@@ -88,7 +88,7 @@
         Self { edit, rows, removed }
     }
 
-    /// What a VM with edition `since` lacks.
+    /// The delta that updates a VM from edition `since` to this edition.
     pub fn delta(&self, since: Edit) -> Delta {
         let rows = self.rows.values().filter(|r| r.changed > since).cloned().collect();
         let removed = self
@@ -100,7 +100,7 @@
         Delta { since, edit: self.edit, rows, removed }
     }
 
-    /// Applies a delta; `None` if it starts above this edition or ends at or below it.
+    /// Applies a delta; `None` if it starts above this edition or does not end above it.
     pub fn apply(&self, delta: &Delta) -> Option<Self> {
         if delta.since > self.edit || delta.edit <= self.edit {
             return None;
@@ -119,23 +119,23 @@
     }
 }
 
-fn unreadable(error: &csv::Error) -> Finding {
+fn csv_error(error: &csv::Error) -> Finding {
     let row = error.position().map_or(0, csv::Position::line);
     Finding { row, column: String::new(), kind: Kind::Csv(error.to_string()) }
 }
 
 fn check_header(header: &csv::StringRecord, findings: &mut Vec<Finding>) {
-    let mut find =
+    let mut report =
         |column: &str, kind| findings.push(Finding { row: 1, column: column.into(), kind });
     for column in COLUMNS.iter().filter(|c| !header.iter().any(|h| h == **c)) {
-        find(column, Kind::Missing);
+        report(column, Kind::Missing);
     }
     for column in header.iter().filter(|h| !COLUMNS.contains(h)) {
-        find(column, Kind::Unknown);
+        report(column, Kind::Unknown);
     }
 }
 
-fn read_line(
+fn parse_line(
     header: &csv::StringRecord,
     record: &csv::StringRecord,
     rows: &mut BTreeMap<String, Row>,
--- a/crates/tgw-table/src/finding.rs
+++ b/crates/tgw-table/src/finding.rs
@@ -1,23 +1,23 @@
-//! What is wrong in a table, and where.
+//! Validation errors of a table and their positions.
 
 use derive_more::Display;
 
-/// One mistake; a check reports all of them.
+/// One validation error; validation reports all of them.
 #[derive(Clone, Debug, Display, PartialEq)]
 #[display("row {row}, column {column}: {kind}")]
 pub struct Finding {
     /// The line of the CSV text, the header being line 1.
     pub row: u64,
-    /// The column's name; empty when the whole line is meant.
+    /// The name of the column; empty for an error of the whole line or text.
     pub column: String,
-    /// What is wrong.
+    /// The kind of error.
     pub kind: Kind,
 }
 
-/// The kinds of mistakes.
+/// The kinds of validation errors.
 #[derive(Clone, Debug, Display, PartialEq)]
 pub enum Kind {
-    /// The text is not CSV, or a line has another number of fields than the header.
+    /// The text is not valid CSV, or the number of fields in a line differs from the header.
     #[display("not readable as CSV: {_0}")]
     Csv(String),
     /// The header lacks a column.
@@ -26,36 +26,37 @@
     /// The header names a column that does not exist.
     #[display("unknown column")]
     Unknown,
-    /// A field is not a number, or not one of the words allowed.
+    /// A field is not a number or not one of the allowed words.
     #[display("`{found}` is not {expected}")]
     Malformed {
         /// The field's text.
         found: String,
-        /// What would be accepted.
+        /// What the column accepts.
         expected: &'static str,
     },
-    /// A number lies outside its bounds.
+    /// A number is out of range.
     #[display("{found} is outside {low} to {high}")]
     Range {
         /// The number.
         found: f64,
-        /// The least allowed.
+        /// The minimum.
         low: f64,
-        /// The most allowed.
+        /// The maximum.
         high: f64,
     },
-    /// A service has two rows.
+    /// A service has more than one row.
     #[display("the service `{_0}` has a row already")]
     Twice(String),
-    /// A service name is empty or holds characters that a URL path cannot carry.
+    /// A service name is empty, longer than 64 characters, or has characters that a URL path cannot
+    /// contain.
     #[display("`{_0}` is not a service name: use a-z, 0-9 and -")]
     Name(String),
-    /// The document would not fit one object of the platform.
+    /// The document exceeds the size limit of the platform's objects.
     #[display("{bytes} bytes are more than the platform's {limit}")]
     Size {
         /// The size of the table.
         bytes: usize,
-        /// The platform's limit.
+        /// The size limit.
         limit: usize,
     },
 }
--- a/crates/tgw-table/src/lib.rs
+++ b/crates/tgw-table/src/lib.rs
@@ -1,15 +1,15 @@
-//! The operators' one table: its rows, the checks before it is accepted, differences between two
-//! editions, and the rule by which a VM adopts a newer edition and nothing else.
+//! The operators' table of services: its rows, its validation, differences between two editions, and
+//! the rule that a VM adopts only newer editions.
 
-/// Adoption of editions by a VM: upwards only.
+/// Adoption of newer editions by a VM.
 pub mod adopt;
-/// What differs between two editions.
+/// Differences between two editions.
 pub mod diff;
 /// One edition of the table and its CSV form.
 pub mod document;
-/// What is wrong in a table, and where.
+/// Validation errors of a table and their positions.
 pub mod finding;
-/// One service's row.
+/// The row of one service.
 pub mod row;
 
 pub use document::{Document, Edit};
--- a/crates/tgw-table/src/row.rs
+++ b/crates/tgw-table/src/row.rs
@@ -1,11 +1,11 @@
-//! One service's row.
+//! The row of one service.
 
 use crate::finding::{Finding, Kind};
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 use tgw_clock::Millis;
 
-/// The columns in the order in which they are written.
+/// The columns of the CSV form, in order.
 pub const COLUMNS: [&str; 11] = [
     "service",
     "weight",
@@ -20,14 +20,14 @@
     "orders",
 ];
 
-/// Which snapshot a query takes when the newest is not held for every shard.
+/// The snapshot that a query uses if not every shard has a replica with the newest one.
 #[derive(Copy, Clone, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Choice {
-    /// The newest that any replica holds, at the price of coverage.
+    /// The newest that any replica holds, even if coverage is lower.
     #[display("newest")]
     Newest,
-    /// The newest among those that cover the most shards.
+    /// The newest of the snapshots that cover the most shards.
     #[display("covered")]
     Covered,
 }
@@ -37,23 +37,23 @@
 pub struct Row {
     /// The service's name.
     pub service: String,
-    /// Share of a VM's work when services compete.
+    /// The service's weight in sharing a VM's capacity when services compete.
     pub weight: u32,
-    /// Queries that one VM runs at once.
+    /// The number of queries that one VM runs concurrently.
     pub concurrency: u32,
-    /// Queries that one VM lets wait.
+    /// The number of queries that one VM queues.
     pub queue: u32,
-    /// Time for a query, in milliseconds; a caller may ask for less.
+    /// The deadline of a query, in milliseconds; a caller may request a shorter one.
     pub deadline_ms: u32,
-    /// Coverage below which an answer is refused, in percent of the shards.
+    /// The minimum coverage, in percent of the shards; an answer below it is rejected.
     pub least_coverage_pct: f64,
-    /// Leaf requests that may be hedged, in percent.
+    /// The share of leaf requests that may be hedged, in percent.
     pub hedge_pct: f64,
-    /// Leaf requests that may be retried, in percent.
+    /// The share of leaf requests that may be retried, in percent.
     pub retry_pct: f64,
-    /// Most attempts for one shard of one query.
+    /// The maximum number of attempts for one shard of one query.
     pub attempts: u8,
-    /// Which snapshot to take.
+    /// The choice of snapshot.
     pub snapshot: Choice,
     /// Whether orders are accepted.
     pub orders: bool,
@@ -63,7 +63,7 @@
 }
 
 impl Row {
-    /// A row of defaults for `service`.
+    /// A row with default values for `service`.
     pub fn named(service: &str) -> Self {
         Self {
             service: service.into(),
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Time for a query.
+    /// The deadline of a query.
     pub fn deadline(&self) -> Millis {
         Millis::new(self.deadline_ms.into())
     }
@@ -103,55 +103,55 @@
         ]
     }
 
-    /// Whether the operators' fields are the same, whatever the edition.
-    pub fn same(&self, other: &Self) -> bool {
+    /// Whether all columns are equal; the edition of the last change is ignored.
+    pub fn has_same_fields(&self, other: &Self) -> bool {
         self.fields() == other.fields()
     }
 
-    /// Reads one line; `get` returns a column's text. Mistakes are added to `findings`.
+    /// Parses one line; `get` returns the text of a column. Errors are added to `findings`.
     pub(crate) fn read<'a>(
         line: u64,
         get: impl Fn(&str) -> &'a str,
         findings: &mut Vec<Finding>,
     ) -> Self {
-        let mut field = Field { line, findings };
+        let mut parser = FieldParser { line, findings };
         Self {
-            service: field.name(get("service")),
-            weight: field.number("weight", get("weight"), 1.0, 10_000.0) as u32,
-            concurrency: field.number("concurrency", get("concurrency"), 1.0, 100_000.0) as u32,
-            queue: field.number("queue", get("queue"), 0.0, 100_000.0) as u32,
-            deadline_ms: field.number("deadline_ms", get("deadline_ms"), 1.0, 600_000.0) as u32,
-            least_coverage_pct: field.number(
+            service: parser.name(get("service")),
+            weight: parser.number("weight", get("weight"), 1.0, 10_000.0) as u32,
+            concurrency: parser.number("concurrency", get("concurrency"), 1.0, 100_000.0) as u32,
+            queue: parser.number("queue", get("queue"), 0.0, 100_000.0) as u32,
+            deadline_ms: parser.number("deadline_ms", get("deadline_ms"), 1.0, 600_000.0) as u32,
+            least_coverage_pct: parser.number(
                 "least_coverage_pct",
                 get("least_coverage_pct"),
                 0.0,
                 100.0,
             ),
-            hedge_pct: field.number("hedge_pct", get("hedge_pct"), 0.0, 50.0),
-            retry_pct: field.number("retry_pct", get("retry_pct"), 0.0, 50.0),
-            attempts: field.number("attempts", get("attempts"), 1.0, 10.0) as u8,
-            snapshot: field.choice(get("snapshot")),
-            orders: field.flag("orders", get("orders")),
+            hedge_pct: parser.number("hedge_pct", get("hedge_pct"), 0.0, 50.0),
+            retry_pct: parser.number("retry_pct", get("retry_pct"), 0.0, 50.0),
+            attempts: parser.number("attempts", get("attempts"), 1.0, 10.0) as u8,
+            snapshot: parser.choice(get("snapshot")),
+            orders: parser.flag("orders", get("orders")),
             changed: 0,
         }
     }
 }
 
-/// Reads the fields of one line and collects what is wrong with them.
-struct Field<'a> {
+/// Parses the fields of one line and collects validation errors.
+struct FieldParser<'a> {
     line: u64,
     findings: &'a mut Vec<Finding>,
 }
 
-impl Field<'_> {
-    fn find(&mut self, column: &str, kind: Kind) {
+impl FieldParser<'_> {
+    fn report(&mut self, column: &str, kind: Kind) {
         self.findings.push(Finding { row: self.line, column: column.into(), kind });
     }
 
     fn name(&mut self, text: &str) -> String {
         let valid = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
         if text.is_empty() || text.len() > 64 || !text.chars().all(valid) {
-            self.find("service", Kind::Name(text.into()));
+            self.report("service", Kind::Name(text.into()));
         }
         text.into()
     }
@@ -160,12 +160,12 @@
         match text.trim().parse::<f64>() {
             Ok(found) if (low..=high).contains(&found) => found,
             Ok(found) => {
-                self.find(column, Kind::Range { found, low, high });
+                self.report(column, Kind::Range { found, low, high });
                 low
             }
             Err(_) => {
                 let kind = Kind::Malformed { found: text.into(), expected: "a number" };
-                self.find(column, kind);
+                self.report(column, kind);
                 low
             }
         }
@@ -177,7 +177,7 @@
             "covered" => Choice::Covered,
             _ => {
                 let expected = "newest or covered";
-                self.find("snapshot", Kind::Malformed { found: text.into(), expected });
+                self.report("snapshot", Kind::Malformed { found: text.into(), expected });
                 Choice::Covered
             }
         }
@@ -185,7 +185,7 @@
 
     fn flag(&mut self, column: &str, text: &str) -> bool {
         if !matches!(text.trim(), "yes" | "no") {
-            self.find(column, Kind::Malformed { found: text.into(), expected: "yes or no" });
+            self.report(column, Kind::Malformed { found: text.into(), expected: "yes or no" });
         }
         text.trim() == "yes"
     }
--- a/crates/tgw-table/tests/table.rs
+++ b/crates/tgw-table/tests/table.rs
@@ -1,4 +1,4 @@
-//! Tests of the operators' table: checks, differences, deltas, adoption.
+//! Tests of the operators' table: validation, differences, deltas, adoption.
 
 #![allow(clippy::expect_used, clippy::unwrap_used, clippy::panic)] // A test fails by panic.
 
@@ -22,7 +22,7 @@
     Document::from_csv(csv).expect("a valid table")
 }
 
-/// The first edition and three that follow it, each with one change.
+/// Four consecutive editions, each with one change.
 fn editions() -> Vec<Document> {
     let first = Document::default().next(&document(CSV));
     let second = first.next(&document(&CSV.replace("800", "900")));
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn csv_reads_back_as_written() {
+fn csv_round_trips() {
     let first = document(CSV);
     assert_eq!(document(&first.to_csv()), first);
 }
@@ -40,7 +40,7 @@
 #[test]
 fn every_finding_names_row_and_column() {
     let csv = CSV.replace("10,64", "0,64").replace("newest", "latest").replace("1500", "soon");
-    let findings = Document::from_csv(&csv).expect_err("three mistakes");
+    let findings = Document::from_csv(&csv).expect_err("three invalid fields");
     let texts: Vec<String> = findings.iter().map(ToString::to_string).collect();
     assert_eq!(
         texts,
@@ -53,9 +53,9 @@
 }
 
 #[test]
-fn second_row_of_a_service_is_a_finding() {
+fn duplicate_row_is_a_finding() {
     let csv = format!("{CSV}permit-office,5,32,32,1500,50,3,10,3,newest,yes\n");
-    let findings = Document::from_csv(&csv).expect_err("a row stands twice");
+    let findings = Document::from_csv(&csv).expect_err("a duplicate row");
     assert_eq!(
         findings[0].to_string(),
         "row 4, column service: the service `permit-office` has a row already"
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn difference_names_each_field() {
+fn diff_lists_each_changed_field() {
     let editions = editions();
     let changes = diff::between(&editions[0], &editions[1]);
     let texts: Vec<String> = changes.iter().map(ToString::to_string).collect();
@@ -71,19 +71,22 @@
 }
 
 #[test]
-fn delta_from_any_edition_gives_the_newest() {
+fn delta_from_any_older_edition_yields_the_newest() {
     let editions = editions();
     let newest = editions.last().expect("four editions");
     for old in &editions[..3] {
-        let applied = old.apply(&newest.delta(old.edit)).expect("the delta connects");
+        let applied = old.apply(&newest.delta(old.edit)).expect("the delta applies");
         assert_eq!(applied.rows, newest.rows, "from edition {}", old.edit);
         assert_eq!(applied.edit, newest.edit);
     }
-    assert!(editions[0].apply(&newest.delta(2)).is_none(), "a gap must not be applied");
+    assert!(
+        editions[0].apply(&newest.delta(2)).is_none(),
+        "a delta with a gap must not be applied"
+    );
 }
 
-// Operators see an accepted deadline jump back for some VMs. A VM learned edition 4 from a peer, then
-// a slow watch delivered edition 2, and the VM put that in force.
+// Guards against reverting an accepted edit: a VM receives edition 4 from a peer, a slow watch then
+// delivers edition 2, and the VM adopts it. Operators see an accepted deadline revert on some VMs.
 #[test]
 fn older_edition_never_replaces_a_newer_one() {
     let editions = editions();
@@ -100,7 +103,8 @@
     }
 }
 
-// As above, with deltas from peers on both sides of a partition mixed in between whole editions.
+// Guards against the same revert, and against a skipped edition, when peers on both sides of a
+// partition send deltas in any order.
 #[test]
 fn deltas_in_any_order_never_revert_or_skip() {
     let editions = editions();
@@ -141,16 +145,16 @@
 proptest! {
     #![proptest_config(config())]
 
-    // An operator pastes anything at all into the table, and the check ends in a panic.
+    // Guards against a panic of the validation on arbitrary text that an operator pastes.
     #[test]
-    fn any_text_is_a_table_or_findings(text in "\\PC{0,200}") {
+    fn arbitrary_text_parses_or_yields_findings(text in "\\PC{0,200}") {
         if let Err(findings) = Document::from_csv(&text) {
             prop_assert!(!findings.is_empty());
         }
     }
 
     #[test]
-    fn any_damage_is_a_table_or_findings(at in 0usize..300, with in "[\\x00-\\x7f]{0,3}") {
+    fn corrupted_csv_parses_or_yields_findings(at in 0usize..300, with in "[\\x00-\\x7f]{0,3}") {
         let mut text = CSV.to_owned();
         let at = at % text.len();
         text.replace_range(at..at + 1, &with);
