--- a/crates/tgw-gateway/src/callers.rs
+++ b/crates/tgw-gateway/src/callers.rs
@@ -1,6 +1,6 @@
 use crate::{
     handle,
-    heads::Timed,
+    request_heads::TimedStream,
     shared::{Phase, Shared},
     socket,
 };
@@ -9,12 +9,13 @@
 use std::{cell::Cell, convert::Infallible, net::IpAddr, pin::pin, rc::Rc, time::Duration};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Smallest buffer that the HTTP library takes for a request's head, in bytes.
-const LEAST_HEAD: usize = 8 << 10;
-/// Pause in ms after a failed accept, as when descriptors have run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Smallest read buffer that hyper accepts.
+const MIN_BUFFER_BYTES: usize = 8 << 10;
+/// Delay after a failed accept, for example when file descriptors have run out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Accepts callers until the process closes, then waits for the running connections.
+/// Accepts connections from callers until the process closes, then waits until the open ones have
+/// ended.
 pub(crate) async fn serve(shared: Rc<Shared>, listener: TcpListener) {
     let mut phase = shared.phase.subscribe();
     let mut connections = tokio::task::JoinSet::new();
@@ -25,8 +26,8 @@
                     connections.spawn_local(connection(shared.clone(), stream, from.ip()));
                 }
                 Err(error) => {
-                    tracing::warn!(%error, "cannot accept a caller");
-                    tokio::time::sleep(ACCEPT_PAUSE).await;
+                    tracing::warn!(%error, "cannot accept a connection from a caller");
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 }
             },
             Some(_) = connections.join_next() => {}
@@ -38,47 +39,48 @@
 }
 
 async fn connection(shared: Rc<Shared>, stream: TcpStream, caller: IpAddr) {
-    if let Err(error) = socket::guard(&stream) {
-        tracing::debug!(%error, "caller left at once");
+    if let Err(error) = socket::configure(&stream) {
+        tracing::debug!(%error, "cannot set TCP options of a connection from a caller");
         return;
     }
     let limits = shared.config.borrow().limits;
     let caller = shared.hasher.caller(caller);
-    let watched = shared.heads.watch();
-    let head = watched.head.clone();
+    let registration = shared.request_heads.register();
+    let head = registration.head.clone();
     let service = {
         let (shared, head, used) = (shared.clone(), head.clone(), Cell::new(false));
         service_fn(move |request| {
             let (shared, head) = (shared.clone(), head.clone());
-            let from = handle::From { caller, opened: !used.replace(true) };
+            let origin = handle::Origin { caller, first_on_connection: !used.replace(true) };
             async move {
-                head.complete();
-                let response = handle::handle(shared, request, from).await;
-                head.answered();
+                head.mark_complete();
+                let response = handle::handle(shared, request, origin).await;
+                head.mark_answered();
                 Ok::<_, Infallible>(response)
             }
         })
     };
-    let stream = Timed { stream, head: head.clone(), shared: shared.clone() };
+    let stream = TimedStream { stream, head: head.clone(), shared: shared.clone() };
     let serving = http1::Builder::new()
         .timer(TokioTimer::new())
-        // The library counts the idle time of a kept connection as reading the next head; heads that
-        // take too long are found by the sweep.
+        // Hyper applies this timeout both to idle kept-alive connections and to reading a request
+        // head. It is set to the idle timeout; heads that take too long are found by the periodic
+        // sweep.
         .header_read_timeout(Duration::from(limits.idle_timeout))
-        .max_buf_size(limits.head.max(LEAST_HEAD))
+        .max_buf_size(limits.head.max(MIN_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     let mut serving = pin!(serving);
     let mut phase = shared.phase.subscribe();
     tokio::select! {
-        result = serving.as_mut() => return log(result),
+        result = serving.as_mut() => return log_result(result),
         () = head.overdue.notified() => return,
         _ = phase.wait_for(|p| *p == Phase::Closing) => serving.as_mut().graceful_shutdown(),
     }
-    log(serving.await);
+    log_result(serving.await);
 }
 
-fn log(result: hyper::Result<()>) {
+fn log_result(result: hyper::Result<()>) {
     if let Err(error) = result {
-        tracing::debug!(%error, "connection to a caller ended");
+        tracing::debug!(%error, "connection from a caller failed");
     }
 }
--- a/crates/tgw-gateway/src/dialect.rs
+++ b/crates/tgw-gateway/src/dialect.rs
@@ -1,4 +1,4 @@
-//! What the platform calls things: the border to the adapter.
+//! Interface to the platform adapter, which translates the platform's names and documents.
 
 use http::{HeaderName, HeaderValue};
 use serde_json::Value;
@@ -6,48 +6,48 @@
 use tgw_forward::{load::Load, upstream::Entry};
 use tgw_route::Config;
 
-/// Header names of the protocol towards callers and upstreams.
+/// Names of the headers exchanged with callers and upstreams.
 #[derive(Clone, Debug)]
 pub struct Headers {
-    /// The request's identity; echoed by upstreams.
+    /// Identifier of the request; upstreams echo it.
     pub request: HeaderName,
-    /// Time left, in whole ms.
+    /// Time left until the deadline, in whole ms.
     pub deadline: HeaderName,
-    /// The incarnation that a request is meant for.
+    /// The upstream incarnation that the request is meant for.
     pub expected: HeaderName,
-    /// The signature of an upstream's reply.
+    /// Signature of an upstream's reply.
     pub seal: HeaderName,
-    /// The load that an upstream tells with a reply.
+    /// The load that an upstream reports with a reply.
     pub load: HeaderName,
-    /// Present where an upstream states that it did not run a request.
+    /// Present if the upstream states that it did not run the request.
     pub declined: HeaderName,
-    /// The signatures of the parts of an answer.
+    /// The signatures of the parts that an answer was merged from.
     pub parts: HeaderName,
-    /// The number of shards that an answer leaves out.
+    /// The number of shards missing from an answer.
     pub missing: HeaderName,
 }
 
-/// The kinds of objects in the platform's store.
+/// Kinds of objects in the platform's store.
 #[derive(Clone, Debug)]
 pub struct Kinds {
-    /// The kind of the configuration.
+    /// Kind of the configuration object.
     pub config: String,
-    /// The name of the one configuration.
+    /// Name of the only configuration object.
     pub config_name: String,
-    /// The kind of the upstreams' entries.
+    /// Kind of the upstreams' entries.
     pub upstreams: String,
-    /// The kind under which operators name the failure domains that are evacuated.
+    /// Kind under which operators list the evacuated failure domains.
     pub evacuations: String,
-    /// The kind, of the product's own, under which VMs announce themselves.
+    /// Kind, owned by this product, under which VMs publish their addresses.
     pub vms: String,
 }
 
-/// Something that cannot be understood, and where.
+/// A problem in a document of the platform, and where it is.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
-    /// The path of the value in its document, as `routes[3].timeout`.
+    /// Path of the value in its document, for example `routes[3].timeout`.
     pub place: String,
-    /// What is wrong with it.
+    /// Description of the problem.
     pub what: String,
 }
 
@@ -57,27 +57,27 @@
     }
 }
 
-/// A decoded document; parts that could not be understood are left out and named.
+/// A decoded document. Parts that could not be decoded are left out and listed in `findings`.
 #[derive(Clone, Debug)]
 pub struct Decoded<T> {
-    /// What was understood.
+    /// The part that could be decoded.
     pub value: T,
-    /// What was not.
+    /// The parts that could not be decoded.
     pub findings: Vec<Finding>,
 }
 
-/// Translates between the platform's names and the product's types.
+/// Translates between the platform's names and this product's types.
 pub trait Dialect {
-    /// Header names.
+    /// Names of the headers.
     fn headers(&self) -> &Headers;
-    /// Kinds of objects.
+    /// Kinds of the objects in the store.
     fn kinds(&self) -> &Kinds;
-    /// The path that the balancer asks for readiness.
+    /// The path on which the balancer checks readiness.
     fn ready_path(&self) -> &str;
-    /// Decodes the load that an upstream tells; `None` if it is none.
+    /// Decodes the load that an upstream reports; `None` if the value is not a load.
     fn load(&self, value: &HeaderValue) -> Option<Load>;
-    /// Decodes a configuration. Errors: it has no version or no routes.
+    /// Decodes a configuration. Errors: the configuration has no version or no routes.
     fn config(&self, value: &Value) -> Result<Decoded<Config>, Vec<Finding>>;
-    /// Decodes an upstream's entry. Errors: a field that the product needs is missing.
+    /// Decodes an upstream's entry. Errors: a required field is missing.
     fn upstream(&self, name: &str, value: &Value) -> Result<Entry, Vec<Finding>>;
 }
--- a/crates/tgw-gateway/src/exchange.rs
+++ b/crates/tgw-gateway/src/exchange.rs
@@ -1,8 +1,9 @@
 use crate::{
-    headers, hop, loss, note,
+    broken, headers, hop,
+    memory::Reservation,
     pool::{self, Connection},
-    room::Taken,
     shared::Shared,
+    telemetry,
 };
 use bytes::Bytes;
 use http::{HeaderValue, Method, Request, Response, StatusCode, Uri, header};
@@ -20,230 +21,243 @@
 use tgw_route::Route;
 use tokio::time::timeout;
 
-/// Largest reply that is held, in bytes; parts are a few kilobytes.
-const REPLY_LIMIT: usize = 1 << 20;
+/// Largest reply that is buffered; parts of an answer are a few kilobytes.
+const MAX_REPLY_BYTES: usize = 1 << 20;
 
-/// A request as its caller sent it, ready to be sent any number of times.
-pub(crate) struct Outgoing {
+/// A request as received from its caller, which can be sent any number of times.
+pub(crate) struct OutgoingRequest {
     pub(crate) method: Method,
     pub(crate) uri: Uri,
-    /// End-to-end headers.
+    /// End-to-end headers only.
     pub(crate) headers: http::HeaderMap,
     pub(crate) body: Bytes,
-    /// The memory that the body takes; given back with the request.
-    pub(crate) _held: Option<Taken>,
+    /// The memory reserved for the body, released when the request is dropped.
+    pub(crate) _memory: Option<Reservation>,
     pub(crate) identity: HeaderValue,
-    pub(crate) print: Fingerprint,
-    /// Its route as it was when it arrived; `None` where it came from another VM and has none here.
+    pub(crate) fingerprint: Fingerprint,
+    /// The route at the time the request arrived; `None` if another VM sent the request and this VM
+    /// has no route for it.
     pub(crate) route: Option<Rc<Route>>,
     pub(crate) deadline: Millis,
 }
 
-/// One send. Gives it back to the core when it ended, also when its task was dropped.
-pub(crate) struct Sent {
+/// One send in progress. Dropping it reports the outcome to the core, also when its task was
+/// cancelled.
+pub(crate) struct ActiveSend {
     pub(crate) shared: Rc<Shared>,
-    pub(crate) request: Rc<Outgoing>,
+    pub(crate) request: Rc<OutgoingRequest>,
     pub(crate) ticket: Ticket,
-    /// The upstream as it was when the send began; its entry may be gone when it ends.
+    /// The upstream's entry when the send began; the fleet may have removed it by the end of the
+    /// send.
     pub(crate) entry: Entry,
-    pub(crate) sent: Millis,
+    pub(crate) started_at: Millis,
     pub(crate) hop: Hop,
-    /// It is to be sent also where the upstream is doubted.
-    pub(crate) insist: bool,
-    /// It is charged to the VM that makes it for this one.
-    pub(crate) lent: bool,
-    /// What the answer takes of the reply, if not all of it.
-    pub(crate) cut: Option<Cut>,
-    /// What was known of upstreams that ended under the request.
+    /// A fallback send: made even if the upstream is suspected.
+    pub(crate) fallback: bool,
+    /// The send counts against the retry budget of the VM that makes it, because this VM's is used
+    /// up.
+    pub(crate) host_charged: bool,
+    /// Limits on how much of the reply the answer uses; `None` if it uses all of it.
+    pub(crate) part_limits: Option<Cut>,
+    /// What was known at the start of the send about upstreams that ended under this request.
     pub(crate) seen: Seen,
-    sign: Sign,
+    outcome: Sign,
 }
 
-impl Drop for Sent {
+impl Drop for ActiveSend {
     fn drop(&mut self) {
         let now = self.shared.now();
-        self.shared.meters.end(self.sign);
-        note::ended(&self.shared, &self.request, self, self.sign);
-        self.shared.core.borrow_mut().fleet.end(now, self.ticket, self.sign);
-        if self.sign == Sign::Reply {
-            self.shared.tell_late(now, &[self.ticket.upstream]);
+        self.shared.metrics.count_send_end(self.outcome);
+        telemetry::send_ended(&self.shared, &self.request, self, self.outcome);
+        self.shared.core.borrow_mut().fleet.end(now, self.ticket, self.outcome);
+        if self.outcome == Sign::Reply {
+            self.shared.queue_reports(now, &[self.ticket.upstream]);
         }
     }
 }
 
-/// Why an exchange brought no reply.
-enum Fault {
-    /// No connection, or it ended before anything was sent.
+/// Why a send brought no reply.
+enum Failure {
+    /// No connection could be made, or it ended before anything was sent.
     Unsent,
-    /// The request may not go there, or not now.
-    Barred,
+    /// The request must not be sent to this upstream, or not at this time.
+    Disallowed,
     /// The upstream reset a new connection before anything was sent.
-    Crowded,
-    /// The connection broke, or the reply was cut.
+    ConnectionLimit,
+    /// The connection broke, or the reply was truncated.
     Broken,
-    /// The reply is another request's, or not what its upstream signed.
-    Spoiled,
-    /// A new connection broke before any reply: the upstream is likely to hold as many as it accepts,
-    /// but the request may have run.
-    Reset,
+    /// The reply belongs to another request, or is not in the form that its upstream signed.
+    InvalidReply,
+    /// A new connection broke before any reply. The upstream has probably reached its connection
+    /// limit, but the request may have run.
+    NewConnectionBroken,
 }
 
-/// How a send gets to its upstream.
+/// How a request is sent to its upstream.
 #[derive(Copy, Clone)]
-pub(crate) struct Way {
+pub(crate) struct Options {
     pub(crate) ticket: Ticket,
     pub(crate) hop: Hop,
-    /// It is to be sent also where the upstream is doubted.
-    pub(crate) insist: bool,
-    /// It is charged to the VM that makes it for this one.
-    pub(crate) lent: bool,
-    /// What the answer takes of the reply, if not all of it.
-    pub(crate) cut: Option<Cut>,
-    /// What is known of upstreams that ended under the request.
+    /// A fallback send: made even if the upstream is suspected.
+    pub(crate) fallback: bool,
+    /// The send counts against the retry budget of the VM that makes it, because this VM's is used
+    /// up.
+    pub(crate) host_charged: bool,
+    /// Limits on how much of the reply the answer uses; `None` if it uses all of it.
+    pub(crate) part_limits: Option<Cut>,
+    /// What is known about upstreams that ended under this request.
     pub(crate) seen: Seen,
 }
 
-/// Sends a request to the upstream of its ticket and reads its reply.
+/// Sends a request to the upstream of its ticket and reads the reply.
 pub(crate) async fn run(
     shared: Rc<Shared>,
-    Way { ticket, hop, insist, lent, cut, seen }: Way,
-    request: Rc<Outgoing>,
+    Options { ticket, hop, fallback, host_charged, part_limits, seen }: Options,
+    request: Rc<OutgoingRequest>,
 ) -> Ended {
     let entry = shared.core.borrow().fleet.get(ticket.upstream).map(|u| u.entry.clone());
-    // Removed between the order and now: nothing was counted for it, nothing is sent.
+    // The upstream was removed after the send was ordered: nothing was counted for it and nothing
+    // is sent.
     let Some(entry) = entry else { return Ended::Unsent };
-    let mut sent = Sent {
+    let mut send = ActiveSend {
         shared: shared.clone(),
         request: request.clone(),
         ticket,
         entry,
-        sent: shared.now(),
+        started_at: shared.now(),
         hop,
-        insist,
-        lent,
-        cut,
+        fallback,
+        host_charged,
+        part_limits,
         seen,
-        sign: Sign::Dropped,
+        outcome: Sign::Dropped,
     };
-    let left = Duration::from(request.deadline - shared.now());
+    let remaining = Duration::from(request.deadline - shared.now());
     let result = match hop {
-        Hop::Direct => timeout(left, direct(&sent)).await,
-        Hop::Peer => timeout(left, hop::ask(&sent)).await,
+        Hop::Direct => timeout(remaining, send_directly(&send)).await,
+        Hop::Peer => timeout(remaining, hop::send_via_peer(&send)).await,
     };
-    let (sign, ended) = result.unwrap_or((Sign::Silent, Ended::Silent));
+    let (outcome, ended) = result.unwrap_or((Sign::Silent, Ended::Silent));
     if let Ended::Answered(response) = &ended
         && let Some(load) = response.load
     {
         shared.core.borrow_mut().fleet.loaded(shared.now(), ticket.upstream, load);
     }
-    sent.sign = sign;
+    send.outcome = outcome;
     ended
 }
 
 /// Sends on a connection of this VM.
-pub(crate) async fn direct(sent: &Sent) -> (Sign, Ended) {
-    note::doubtful(&sent.shared, sent);
-    match attempt(sent).await {
-        Ok(response) => classify(&sent.shared, sent.ticket, response),
-        Err(Fault::Unsent) => (Sign::Unreachable, Ended::Unsent),
-        Err(Fault::Barred) => (Sign::Busy, Ended::Busy),
-        Err(Fault::Crowded) => (Sign::Crowded, Ended::Unsent),
-        Err(Fault::Spoiled) => (Sign::Broken, Ended::Broken),
-        Err(Fault::Broken) => (Sign::Broken, broken(sent).await),
-        Err(Fault::Reset) => (Sign::Crowded, broken(sent).await),
+pub(crate) async fn send_directly(send: &ActiveSend) -> (Sign, Ended) {
+    telemetry::send_to_suspected(&send.shared, send);
+    match try_send(send).await {
+        Ok(response) => classify_response(&send.shared, send.ticket, response),
+        Err(Failure::Unsent) => (Sign::Unreachable, Ended::Unsent),
+        Err(Failure::Disallowed) => (Sign::Busy, Ended::Busy),
+        Err(Failure::ConnectionLimit) => (Sign::Crowded, Ended::Unsent),
+        Err(Failure::InvalidReply) => (Sign::Broken, Ended::Broken),
+        Err(Failure::Broken) => (Sign::Broken, diagnose_break(send).await),
+        Err(Failure::NewConnectionBroken) => (Sign::Crowded, diagnose_break(send).await),
     }
 }
 
-/// What a broken connection was: the end of its upstream, or a lost reply.
-async fn broken(sent: &Sent) -> Ended {
-    if loss::look(sent).await { Ended::Gone } else { Ended::Broken }
+/// Finds out whether a broken connection means that the upstream ended or only that the reply was
+/// lost.
+async fn diagnose_break(send: &ActiveSend) -> Ended {
+    if broken::has_upstream_ended(send).await { Ended::Gone } else { Ended::Broken }
 }
 
-async fn attempt(sent: &Sent) -> Result<Response<Bytes>, Fault> {
-    let Sent { shared, request, ticket, entry, .. } = sent;
-    let expected = HeaderValue::from_str(&entry.id).map_err(|_| Fault::Unsent)?;
-    let mut kept = shared.pools.take(shared.now(), ticket.upstream);
+async fn try_send(send: &ActiveSend) -> Result<Response<Bytes>, Failure> {
+    let ActiveSend { shared, request, ticket, entry, .. } = send;
+    let expected = HeaderValue::from_str(&entry.id).map_err(|_| Failure::Unsent)?;
+    let mut idle = shared.pools.take(shared.now(), ticket.upstream);
     loop {
-        let mut connection = match kept.take() {
+        let mut connection = match idle.take() {
             Some(connection) => connection,
-            None => connect(sent).await?,
+            None => connect(send).await?,
         };
         if connection.sender.ready().await.is_err() {
             if connection.used {
                 continue;
             }
-            return Err(Fault::Crowded);
+            return Err(Failure::ConnectionLimit);
         }
-        // A connection may take seconds to be made, and the upstream may have left meanwhile, have become cold, or the
-        // request's home regions may have changed: it would reach it long after. Nothing was sent, so that it can go
-        // elsewhere.
+        // Connecting may take seconds. Meanwhile the upstream may have left or become cold, or the
+        // request's home regions may have changed, so the permission to send is checked again. As
+        // nothing was sent, the request can still go to another upstream.
         if !shared.core.borrow_mut().clear(shared.now(), request.route.as_deref(), *ticket) {
-            return Err(Fault::Barred);
+            return Err(Failure::Disallowed);
         }
-        let message = message(shared, request, &expected).map_err(|_| Fault::Unsent)?;
+        let message = build_message(shared, request, &expected).map_err(|_| Failure::Unsent)?;
         match connection.sender.try_send_request(message).await {
-            Ok(response) => return read(sent, connection, response).await,
-            // The library hands the message back only if no byte of it was written, so that a new
-            // connection may carry it without running it twice.
+            Ok(response) => return read_reply(send, connection, response).await,
+            // Hyper returns the message only if no byte of it was written, so it can be sent on a
+            // new connection without running twice.
             Err(mut error) => {
                 if error.take_message().is_none() {
-                    return Err(if connection.used { Fault::Broken } else { Fault::Reset });
+                    return Err(if connection.used {
+                        Failure::Broken
+                    } else {
+                        Failure::NewConnectionBroken
+                    });
                 }
                 if !connection.used {
-                    return Err(Fault::Crowded);
+                    return Err(Failure::ConnectionLimit);
                 }
             }
         }
     }
 }
 
-async fn connect(sent: &Sent) -> Result<Connection, Fault> {
-    let Sent { shared, request, ticket, entry, .. } = sent;
-    let left = request.deadline - shared.now();
-    let error = match pool::connect(shared, ticket.upstream, entry.addr, left).await {
+async fn connect(send: &ActiveSend) -> Result<Connection, Failure> {
+    let ActiveSend { shared, request, ticket, entry, .. } = send;
+    let remaining = request.deadline - shared.now();
+    let error = match pool::connect(shared, ticket.upstream, entry.addr, remaining).await {
         Ok(connection) => return Ok(connection),
         Err(error) => error,
     };
-    tracing::debug!(upstream = &*entry.id, addr = %entry.addr, %error, "no connection");
-    let crowded = error.kind() == io::ErrorKind::ConnectionReset;
-    Err(if crowded { Fault::Crowded } else { Fault::Unsent })
+    tracing::debug!(upstream = &*entry.id, addr = %entry.addr, %error,
+        "cannot connect to upstream");
+    let limit_reached = error.kind() == io::ErrorKind::ConnectionReset;
+    Err(if limit_reached { Failure::ConnectionLimit } else { Failure::Unsent })
 }
 
-fn message(
+fn build_message(
     shared: &Shared,
-    request: &Outgoing,
+    request: &OutgoingRequest,
     expected: &HeaderValue,
 ) -> http::Result<Request<Full<Bytes>>> {
-    let names = shared.dialect.headers();
+    let names = shared.codec.headers();
     let mut message = Request::builder()
         .method(request.method.clone())
         .uri(request.uri.clone())
         .body(Full::new(request.body.clone()))?;
-    let left = (request.deadline - shared.now()).whole().max(1);
+    let remaining = (request.deadline - shared.now()).whole().max(1);
     let head = message.headers_mut();
     head.clone_from(&request.headers);
-    head.insert(names.deadline.clone(), HeaderValue::from(left));
+    head.insert(names.deadline.clone(), HeaderValue::from(remaining));
     head.insert(names.expected.clone(), expected.clone());
     Ok(message)
 }
 
-async fn read(
-    sent: &Sent,
+async fn read_reply(
+    send: &ActiveSend,
     connection: Connection,
     response: Response<Incoming>,
-) -> Result<Response<Bytes>, Fault> {
-    let Sent { shared, request, ticket, .. } = sent;
+) -> Result<Response<Bytes>, Failure> {
+    let ActiveSend { shared, request, ticket, .. } = send;
     let (head, body) = response.into_parts();
-    let names = shared.dialect.headers();
-    // An upstream may send a second reply late, where the next one is due. The request's identity
-    // tells it apart; the connection is closed, as what follows on it belongs to nothing.
+    let names = shared.codec.headers();
+    // An upstream may send a second reply late, in place of the next one. The echoed request
+    // identifier reveals this. The connection is closed, because whatever follows on it cannot be
+    // assigned to a request.
     if head.headers.get(&names.request).is_some_and(|echo| *echo != request.identity) {
-        return Err(Fault::Spoiled);
+        return Err(Failure::InvalidReply);
     }
-    let limited = Limited::new(body, REPLY_LIMIT).collect().await;
-    let body = limited.map_err(|_| Fault::Broken)?.to_bytes();
+    let limited = Limited::new(body, MAX_REPLY_BYTES).collect().await;
+    let body = limited.map_err(|_| Failure::Broken)?.to_bytes();
     if head.headers.contains_key(header::CONTENT_ENCODING) {
-        return Err(Fault::Spoiled);
+        return Err(Failure::InvalidReply);
     }
     let stated = headers::keep_alive_seconds(&head.headers);
     let keep = shared.core.borrow().keep(ticket.upstream);
@@ -251,11 +265,11 @@
     Ok(Response::from_parts(head, body))
 }
 
-fn classify(shared: &Shared, ticket: Ticket, response: Response<Bytes>) -> (Sign, Ended) {
-    let names = shared.dialect.headers();
+fn classify_response(shared: &Shared, ticket: Ticket, response: Response<Bytes>) -> (Sign, Ended) {
+    let names = shared.codec.headers();
     let (mut head, body) = response.into_parts();
     if head.status == StatusCode::MISDIRECTED_REQUEST {
-        // Another process has the address: the incarnation that was meant has ended.
+        // Another process has taken over the address: the expected incarnation has ended.
         let mut core = shared.core.borrow_mut();
         let id = core.fleet.get(ticket.upstream).map(|u| u.entry.id.clone());
         if let Some(id) = id {
@@ -264,18 +278,24 @@
         }
         return (Sign::Shed, Ended::Declined);
     }
-    let load = head.headers.remove(&names.load).and_then(|value| shared.dialect.load(&value));
+    let load = head.headers.remove(&names.load).and_then(|value| shared.codec.load(&value));
     if head.headers.contains_key(&names.declined) {
         return (Sign::Shed, Ended::Declined);
     }
-    let seal = head.headers.get(&names.seal).cloned();
+    let signature = head.headers.get(&names.seal).cloned();
     headers::strip(&mut head.headers);
-    judge(plan::Response { status: head.status, headers: head.headers, seal, load, body })
+    classify_reply(plan::Response {
+        status: head.status,
+        headers: head.headers,
+        seal: signature,
+        load,
+        body,
+    })
 }
 
-/// What a complete reply tells of its upstream.
-pub(crate) fn judge(response: plan::Response) -> (Sign, Ended) {
+/// Classifies a complete reply as success or failure of its upstream.
+pub(crate) fn classify_reply(response: plan::Response) -> (Sign, Ended) {
     let failed = response.status.is_server_error() || !response.good();
-    let sign = if failed { Sign::Failure } else { Sign::Reply };
-    (sign, Ended::Answered(Box::new(response)))
+    let outcome = if failed { Sign::Failure } else { Sign::Reply };
+    (outcome, Ended::Answered(Box::new(response)))
 }
--- a/crates/tgw-gateway/src/handle.rs
+++ b/crates/tgw-gateway/src/handle.rs
@@ -1,8 +1,10 @@
 use crate::{
-    exchange::{self, Outgoing},
-    headers, note, quarantine,
-    room::Taken,
+    exchange::{self, OutgoingRequest},
+    headers,
+    memory::Reservation,
+    quarantine,
     shared::{Phase, Shared},
+    telemetry,
 };
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue, Request, Response, StatusCode, header};
@@ -22,30 +24,31 @@
     time::{sleep, timeout},
 };
 
-/// What a caller is told to wait, in ms, while this VM knows no configuration.
-const UNCONFIGURED_RETRY: Millis = Millis::new(300);
-/// What a caller is told to wait, in ms, while this VM has no memory for its body: others end meanwhile.
-const ROOM_RETRY: Millis = Millis::new(100);
+/// Retry delay sent to a caller while this VM has no configuration.
+const UNCONFIGURED_RETRY_MS: Millis = Millis::new(300);
+/// Retry delay sent to a caller while this VM has no memory for its body; other requests end
+/// meanwhile and release theirs.
+const MEMORY_RETRY_MS: Millis = Millis::new(100);
 
-/// Where a request comes from.
+/// Origin of a request.
 #[derive(Copy, Clone, Debug)]
-pub(crate) struct From {
-    /// The caller, hashed.
+pub(crate) struct Origin {
+    /// Hash of the caller's address.
     pub(crate) caller: u32,
-    /// Its caller opened the connection for it.
-    pub(crate) opened: bool,
+    /// The request is the first one on its connection.
+    pub(crate) first_on_connection: bool,
 }
 
 /// Answers one request.
 pub(crate) async fn handle(
     shared: Rc<Shared>,
     request: Request<Incoming>,
-    from: From,
+    origin: Origin,
 ) -> Response<Full<Bytes>> {
     shared.running.set(shared.running.get() + 1);
     let _running = Running(shared.clone());
-    let mut response = match accept(&shared, request, from.caller).await {
-        Ok(accepted) => forward(&shared, accepted, from.opened).await,
+    let mut response = match accept(&shared, request, origin.caller).await {
+        Ok(accepted) => forward(&shared, accepted, origin.first_on_connection).await,
         Err(refusal) => *refusal,
     };
     if shared.phase() != Phase::Serving {
@@ -54,7 +57,7 @@
     response
 }
 
-/// Counts a request for as long as it runs.
+/// Counts a request as running until it is dropped.
 struct Running(Rc<Shared>);
 
 impl Drop for Running {
@@ -67,8 +70,8 @@
     route: Rc<Route>,
     version: u64,
     arrived: Millis,
-    patience: Option<Millis>,
-    outgoing: Outgoing,
+    caller_timeout: Option<Millis>,
+    outgoing: OutgoingRequest,
 }
 
 type Refusal = Box<Response<Full<Bytes>>>;
@@ -80,33 +83,44 @@
 ) -> Result<Accepted, Refusal> {
     let arrived = shared.now();
     let (head, body) = request.into_parts();
-    let names = shared.dialect.headers();
+    let names = shared.codec.headers();
     let host = headers::host(&head.uri, &head.headers);
     let (route, version) = {
         let config = shared.config.borrow();
-        let known = config.version.filter(|_| shared.evacuations_asked.get());
+        let known = config.version.filter(|_| shared.evacuations_checked.get());
         let Some(version) = known else {
-            note::unconfigured(shared, arrived, text(&head.headers, &names.request));
-            return Err(refuse(StatusCode::SERVICE_UNAVAILABLE, Some(UNCONFIGURED_RETRY)));
+            telemetry::request_unconfigured(
+                shared,
+                arrived,
+                header_text(&head.headers, &names.request),
+            );
+            return Err(refuse(StatusCode::SERVICE_UNAVAILABLE, Some(UNCONFIGURED_RETRY_MS)));
         };
         let route = config.route(&head.uri, &head.headers).cloned();
         (route, version)
     };
     let Some(route) = route else {
         let path = head.uri.path();
-        note::unrouted(shared, arrived, text(&head.headers, &names.request), host, path, version);
+        telemetry::request_unrouted(
+            shared,
+            arrived,
+            header_text(&head.headers, &names.request),
+            host,
+            path,
+            version,
+        );
         return Err(refuse(StatusCode::NOT_FOUND, None));
     };
     let Some(identity) = head.headers.get(&names.request).cloned() else {
-        note::unread(shared, arrived, None, "no identity");
+        telemetry::request_unread(shared, arrived, None, "no identity");
         return Err(refuse(StatusCode::BAD_REQUEST, None));
     };
-    let patience =
-        text(&head.headers, &names.deadline).and_then(|t| t.parse().ok()).map(Millis::new);
-    let within = patience.unwrap_or(route.timeout);
-    let (body, held) = read(shared, body, within).await.map_err(|unread| {
-        note::unread(shared, arrived, identity.to_str().ok(), unread.cause());
-        unread.answer()
+    let caller_timeout =
+        header_text(&head.headers, &names.deadline).and_then(|t| t.parse().ok()).map(Millis::new);
+    let time_limit = caller_timeout.unwrap_or(route.timeout);
+    let (body, memory) = read_body(shared, body, time_limit).await.map_err(|body_error| {
+        telemetry::request_unread(shared, arrived, identity.to_str().ok(), body_error.cause());
+        body_error.response()
     })?;
     let content = Content {
         method: head.method.as_str(),
@@ -115,116 +129,131 @@
         credentials: head.headers.get(header::AUTHORIZATION).map_or(&[], HeaderValue::as_bytes),
         body: &body,
     };
-    let print = shared.hasher.request(caller, &content);
+    let fingerprint = shared.hasher.request(caller, &content);
     let mut headers = head.headers;
     headers::strip(&mut headers);
-    let outgoing = Outgoing {
+    let outgoing = OutgoingRequest {
         method: head.method,
         uri: head.uri,
         headers,
         body,
-        _held: held,
+        _memory: memory,
         identity,
-        print,
+        fingerprint,
         route: Some(route.clone()),
         deadline: Millis::ZERO,
     };
-    Ok(Accepted { route, version, arrived, patience, outgoing })
+    Ok(Accepted { route, version, arrived, caller_timeout, outgoing })
 }
 
-/// A body that is held, and the memory that it takes.
-type Held = (Bytes, Option<Taken>);
+/// A buffered body and the memory reserved for it.
+type BufferedBody = (Bytes, Option<Reservation>);
 
-/// Why a body was not read. Nothing was sent for its request.
+/// Why a body could not be read. Nothing was sent for its request.
 #[derive(Copy, Clone, Debug)]
-enum Unread {
-    /// It is longer than the operators allow.
+enum BodyError {
+    /// The body exceeds the limit set by the operators.
     TooLong,
-    /// There is no memory for it now.
-    NoRoom,
-    /// It ended early or is malformed.
+    /// There is no memory for it at the moment.
+    NoMemory,
+    /// The body ended early or is malformed.
     Broken,
-    /// It did not come in time.
-    Late,
+    /// The body did not arrive in time.
+    TimedOut,
 }
 
-impl Unread {
+impl BodyError {
     fn cause(self) -> &'static str {
         match self {
             Self::TooLong => "body too long",
-            Self::NoRoom => "no memory for the body",
+            Self::NoMemory => "no memory for the body",
             Self::Broken => "body broken",
-            Self::Late => "body late",
+            Self::TimedOut => "body late",
         }
     }
 
-    fn answer(self) -> Refusal {
+    fn response(self) -> Refusal {
         match self {
             Self::TooLong => refuse(StatusCode::PAYLOAD_TOO_LARGE, None),
-            Self::NoRoom => refuse(StatusCode::SERVICE_UNAVAILABLE, Some(ROOM_RETRY)),
+            Self::NoMemory => refuse(StatusCode::SERVICE_UNAVAILABLE, Some(MEMORY_RETRY_MS)),
             Self::Broken => refuse(StatusCode::BAD_REQUEST, None),
-            Self::Late => refuse(StatusCode::REQUEST_TIMEOUT, None),
+            Self::TimedOut => refuse(StatusCode::REQUEST_TIMEOUT, None),
         }
     }
 }
 
-async fn read(shared: &Shared, body: Incoming, within: Millis) -> Result<Held, Unread> {
+async fn read_body(
+    shared: &Shared,
+    body: Incoming,
+    time_limit: Millis,
+) -> Result<BufferedBody, BodyError> {
     if body.is_end_stream() {
         return Ok((Bytes::new(), None));
     }
     let limit = shared.config.borrow().limits.body;
     let stated = body.size_hint().upper().and_then(|size| usize::try_from(size).ok());
     if stated.is_some_and(|size| size > limit) {
-        return Err(Unread::TooLong);
+        return Err(BodyError::TooLong);
     }
-    let mut taken = shared.room.take(stated.unwrap_or(limit)).ok_or(Unread::NoRoom)?;
-    match timeout(Duration::from(within), Limited::new(body, limit).collect()).await {
+    let mut reservation =
+        shared.memory.reserve(stated.unwrap_or(limit)).ok_or(BodyError::NoMemory)?;
+    match timeout(Duration::from(time_limit), Limited::new(body, limit).collect()).await {
         Ok(Ok(body)) => {
             let body = body.to_bytes();
-            taken.shrink(body.len());
-            Ok((body, Some(taken)))
+            reservation.shrink(body.len());
+            Ok((body, Some(reservation)))
         }
-        Ok(Err(error)) if error.is::<LengthLimitError>() => Err(Unread::TooLong),
-        Ok(Err(_)) => Err(Unread::Broken),
-        Err(_) => Err(Unread::Late),
+        Ok(Err(error)) if error.is::<LengthLimitError>() => Err(BodyError::TooLong),
+        Ok(Err(_)) => Err(BodyError::Broken),
+        Err(_) => Err(BodyError::TimedOut),
     }
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &header::HeaderName) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &header::HeaderName) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-/// The sends of one request. Dropped before its answer, as when the caller has left, it ends them:
-/// upstreams would otherwise work on what nobody waits for.
+/// The sends of one request. Dropping it before the answer, as when the caller disconnects, cancels
+/// them: upstreams would otherwise work on a reply that no caller is waiting for.
 struct Sends {
     shared: Rc<Shared>,
-    request: Rc<Outgoing>,
+    request: Rc<OutgoingRequest>,
     ended: UnboundedSender<Event>,
     tasks: Vec<AbortHandle>,
 }
 
 impl Sends {
-    fn open(shared: Rc<Shared>, request: Rc<Outgoing>) -> (Self, UnboundedReceiver<Event>) {
-        // Holds at most one value for each send, which the route's attempts bound.
+    fn open(shared: Rc<Shared>, request: Rc<OutgoingRequest>) -> (Self, UnboundedReceiver<Event>) {
+        // Holds at most one value per send, and the route limits the number of sends.
         let (ended, results) = mpsc::unbounded_channel();
         (Self { shared, request, ended, tasks: Vec::new() }, results)
     }
 
     fn start(&mut self, order: &Order) {
         let (shared, request) = (self.shared.clone(), self.request.clone());
-        let Order { part, ticket, hop, insist, lent, cut, seen, .. } = *order;
-        let way = exchange::Way { ticket, hop, insist, lent, cut, seen };
+        let Order {
+            part,
+            ticket,
+            hop,
+            insist: fallback,
+            lent: host_charged,
+            cut: part_limits,
+            seen,
+            ..
+        } = *order;
+        let options = exchange::Options { ticket, hop, fallback, host_charged, part_limits, seen };
         let ended = self.ended.clone();
         let task = tokio::task::spawn_local(async move {
-            let result = exchange::run(shared, way, request).await;
-            // Nobody listens once the answer has left.
+            let result = exchange::run(shared, options, request).await;
+            // The receiver is gone once the answer has been sent.
             let _ = ended.send(Event::Ended { part, upstream: ticket.upstream, ended: result });
         });
         self.tasks.push(task.abort_handle());
     }
 
-    /// Lets the sends that still run finish: closing their connections would cost new ones.
-    fn release(mut self) {
+    /// Lets running sends finish: cancelling them would close their connections, which then have to
+    /// be made anew.
+    fn detach(mut self) {
         self.tasks.clear();
     }
 }
@@ -232,7 +261,7 @@
 impl Drop for Sends {
     fn drop(&mut self) {
         if !self.tasks.is_empty() {
-            note::abandoned(&self.shared, &self.request, self.tasks.len());
+            telemetry::request_abandoned(&self.shared, &self.request, self.tasks.len());
         }
         for task in &self.tasks {
             task.abort();
@@ -240,11 +269,21 @@
     }
 }
 
-async fn forward(shared: &Rc<Shared>, accepted: Accepted, opened: bool) -> Response<Full<Bytes>> {
-    let Accepted { route, version, arrived, patience, mut outgoing } = accepted;
-    let spread = shared.number();
-    let print = outgoing.print;
-    let options = plan::Options { route: route.clone(), patience, opened, spread, print };
+async fn forward(
+    shared: &Rc<Shared>,
+    accepted: Accepted,
+    first_on_connection: bool,
+) -> Response<Full<Bytes>> {
+    let Accepted { route, version, arrived, caller_timeout, mut outgoing } = accepted;
+    let spread = shared.next_number();
+    let fingerprint = outgoing.fingerprint;
+    let options = plan::Options {
+        route: route.clone(),
+        patience: caller_timeout,
+        opened: first_on_connection,
+        spread,
+        print: fingerprint,
+    };
     let mut plan = Plan::new(arrived, &options);
     outgoing.deadline = plan.deadline();
     let outgoing = Rc::new(outgoing);
@@ -255,12 +294,12 @@
         let now = shared.now();
         let answer = plan.on(now, event, &mut shared.core.borrow_mut(), &mut orders);
         for order in orders.drain(..) {
-            note::send(shared, now, &outgoing, &plan, &order);
+            telemetry::send_started(shared, now, &outgoing, &plan, &order);
             sends.start(&order);
         }
-        shared.tell_late(now, &plan.take_late());
+        shared.queue_reports(now, &plan.take_late());
         for withheld in plan.take_withheld() {
-            note::withheld(shared, now, &outgoing, &plan, withheld);
+            telemetry::send_withheld(shared, now, &outgoing, &plan, withheld);
         }
         if let Some(answer) = answer {
             break answer;
@@ -276,23 +315,23 @@
             }
         };
     };
-    sends.release();
+    sends.detach();
     if plan.released() {
-        quarantine::answered(shared, print);
+        quarantine::trial_answered(shared, fingerprint);
     }
-    note::answer(shared, &outgoing, &route, version, &plan, &answer);
+    telemetry::request_answered(shared, &outgoing, &route, version, &plan, &answer);
     respond(shared, answer)
 }
 
 fn respond(shared: &Shared, answer: Answer) -> Response<Full<Bytes>> {
     match answer {
-        Answer::Forward(reply) => reply_of(*reply),
-        Answer::Merged { seals, missing, body } => {
-            let names = shared.dialect.headers();
+        Answer::Forward(reply) => response_from_reply(*reply),
+        Answer::Merged { seals: signatures, missing, body } => {
+            let names = shared.codec.headers();
             let mut response = Response::new(Full::new(body));
             let head = response.headers_mut();
-            let seals: Vec<&[u8]> = seals.iter().map(HeaderValue::as_bytes).collect();
-            if let Ok(list) = HeaderValue::from_bytes(&seals.join(&b", "[..])) {
+            let signatures: Vec<&[u8]> = signatures.iter().map(HeaderValue::as_bytes).collect();
+            if let Ok(list) = HeaderValue::from_bytes(&signatures.join(&b", "[..])) {
                 head.insert(names.parts.clone(), list);
             }
             head.insert(names.missing.clone(), HeaderValue::from(missing));
@@ -306,19 +345,20 @@
     }
 }
 
-/// An upstream's reply as the caller gets it.
-fn reply_of(reply: Reply) -> Response<Full<Bytes>> {
-    // These statuses promise the caller that its request has not run and never will. An upstream
-    // that sends one without stating so may have run it, and the caller would repeat it.
-    let promise = matches!(
+/// Turns an upstream's reply into the response to the caller.
+fn response_from_reply(reply: Reply) -> Response<Full<Bytes>> {
+    // These statuses promise the caller that its request did not run and never will. An upstream
+    // that uses one without stating so explicitly may have run the request, and the caller would
+    // repeat it.
+    let promises_not_run = matches!(
         reply.status,
         StatusCode::TOO_MANY_REQUESTS
             | StatusCode::SERVICE_UNAVAILABLE
             | StatusCode::REQUEST_TIMEOUT
             | StatusCode::MISDIRECTED_REQUEST
     );
-    // A success counts only with its signature; without one it is not known to be whole.
-    if promise || (reply.status.is_success() && reply.seal.is_none()) {
+    // A successful reply needs its signature; without one it may be truncated.
+    if promises_not_run || (reply.status.is_success() && reply.seal.is_none()) {
         return *refuse(StatusCode::BAD_GATEWAY, None);
     }
     let mut response = Response::new(Full::new(reply.body));
--- a/crates/tgw-gateway/src/headers.rs
+++ b/crates/tgw-gateway/src/headers.rs
@@ -1,6 +1,6 @@
 use http::{HeaderMap, HeaderName, Uri, header, uri::Authority};
 
-/// Headers that concern one connection only and are never forwarded.
+/// Hop-by-hop headers, which are never forwarded.
 const HOP: [HeaderName; 7] = [
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
@@ -13,7 +13,7 @@
 const KEEP_ALIVE: &str = "keep-alive";
 const PROXY_CONNECTION: &str = "proxy-connection";
 
-/// Removes what concerns one connection only, and the framing, which the HTTP library sets anew.
+/// Removes hop-by-hop headers and those that describe the framing, which hyper sets anew.
 pub(crate) fn strip(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -31,13 +31,13 @@
     headers.remove(header::EXPECT);
 }
 
-/// The host that a request names.
+/// The host named by a request.
 pub(crate) fn host<'a>(uri: &'a Uri, headers: &'a HeaderMap) -> Option<&'a str> {
     let named = || headers.get(header::HOST)?.to_str().ok();
     uri.authority().map(Authority::as_str).or_else(named)
 }
 
-/// The idle time in whole seconds that a peer states for its connection.
+/// The idle timeout in whole seconds that the other side states in its `keep-alive` header.
 pub(crate) fn keep_alive_seconds(headers: &HeaderMap) -> Option<u64> {
     let text = headers.get(KEEP_ALIVE)?.to_str().ok()?;
     text.split(',').find_map(|part| part.trim().strip_prefix("timeout=")?.trim().parse().ok())
--- a/crates/tgw-gateway/src/lib.rs
+++ b/crates/tgw-gateway/src/lib.rs
@@ -1,63 +1,63 @@
-//! Serves callers by forwarding: takes requests in, asks the decision core where each goes, makes
-//! the calls to the upstreams, and answers.
+//! Gateway: accepts requests from callers, asks the decision core which upstreams to use, sends the
+//! requests there and returns the answers.
 //!
-//! One thread holds callers, decisions and upstreams, so that a request pays for no hop between
-//! threads. What the platform calls things is hidden behind [`Dialect`] and
+//! One thread handles callers, decisions and upstreams, so that a request never moves between
+//! threads. The platform's names and protocols are hidden behind [`Dialect`] and
 //! [`tgw_platform::Store`].
 
-/// Callers' connections.
+/// Sends whose connection broke, and whether their upstream has ended.
+mod broken;
+/// Connections from callers.
 mod callers;
-/// What the platform calls things.
+/// Interface to the platform adapter.
 pub mod dialect;
+/// Discovery of other VMs through the store.
+mod discovery;
 /// One send to one upstream.
 mod exchange;
-/// Which lines are logged when there are too many.
-mod governor;
-/// One request.
+/// Handling of one request.
 mod handle;
-/// Headers that are forwarded.
+/// HTTP headers of forwarded messages.
 mod headers;
-/// Heads that callers send slowly.
-mod heads;
-/// Sends made by other VMs, and for them.
+/// Sends made by other VMs for this one, and by this VM for others.
 mod hop;
 /// Structured logs.
 pub mod log;
-/// Upstreams that ended under a send.
-mod loss;
-/// Meeting other VMs through the store.
-mod meeting;
-/// Counters and histograms.
-mod meters;
-/// Log lines and counts about requests.
-mod note;
-/// Packets to and from other VMs.
+/// Limits on the number of log lines.
+mod log_limiter;
+/// Memory budget for bodies.
+pub mod memory;
+/// Counters, gauges and histograms.
+mod metrics;
+/// UDP packets exchanged with other VMs.
 mod packets;
-/// Membership and the spread of news among VMs.
+/// Membership, and dissemination of updates among VMs.
 mod peers;
-/// Connections to the upstreams.
+/// Connections to upstreams.
 mod pool;
-/// Requests under which upstreams end.
+/// Quarantine of requests under which upstreams end.
 pub mod quarantine;
-/// Readiness.
-mod ready;
-/// Memory for bodies.
-pub mod room;
-/// Starting and stopping.
+/// Readiness, metrics and quarantine over HTTP.
+mod readiness;
+/// Timeouts of request heads.
+mod request_heads;
+/// Start and shutdown of the gateway.
 pub mod serve;
-/// What one process is told at its start.
+/// Settings of one process.
 pub mod settings;
-/// What the tasks of the serving thread share.
+/// State shared by the tasks of the serving thread.
 mod shared;
-/// Sockets that notice a silent peer.
+/// TCP options that detect unresponsive peers.
 mod socket;
-/// A copy of the store that may be seconds old, for a start of all VMs.
+/// Start from a copy of the store that may be seconds old, for when all VMs start at once.
 mod stale;
-/// What VMs tell one another over TCP.
-mod tell;
-/// Entries of upstreams that cannot be read.
+/// State exchanged between VMs over TCP.
+mod state_exchange;
+/// Log lines and counts about requests and sends.
+mod telemetry;
+/// Entries of upstreams that cannot be decoded.
 mod unreadable;
-/// The configuration and the list of upstreams, from the store.
+/// Watches of the platform's store.
 mod watch;
 
 pub use dialect::Dialect;
--- a/crates/tgw-gateway/src/log.rs
+++ b/crates/tgw-gateway/src/log.rs
@@ -1,16 +1,16 @@
-//! Structured logs: JSON lines behind a bounded ring that never holds up a request.
+//! Structured logs: JSON lines behind a bounded buffer, so that logging never blocks a request.
 
 use std::io::Write;
 use tracing::Subscriber;
 use tracing_appender::non_blocking::{ErrorCounter, NonBlockingBuilder, WorkerGuard};
 use tracing_subscriber::EnvFilter;
 
-pub use crate::governor::{Governor, Rank};
+pub use crate::log_limiter::{Category, Limiter};
 
 /// Lines that wait for the writer's thread; further ones are dropped and counted.
-pub const RING: usize = 2_048;
+pub const BUFFER_LINES: usize = 2_048;
 
-/// Counts lines that the ring had no place for.
+/// Counts lines that were dropped because the buffer was full.
 #[derive(Clone, Debug)]
 pub struct Dropped(ErrorCounter);
 
@@ -23,22 +23,22 @@
 
 /// An open log.
 pub struct Log<S> {
-    /// Takes the lines.
+    /// Receives the log lines.
     pub subscriber: S,
-    /// Counts what was dropped.
+    /// Counts the lines that were dropped.
     pub dropped: Dropped,
-    /// Writes what waits when it is dropped.
+    /// Flushes buffered lines when it is dropped.
     pub guard: WorkerGuard,
 }
 
-/// Writes lines to `out` from a thread of its own: a full pipe would otherwise hold up every request.
-/// Errors: the filter cannot be read.
+/// Writes log lines to `out` from a separate thread: a full pipe would otherwise block every
+/// request. Errors: the filter cannot be parsed.
 pub fn open(
     out: impl Write + Send + 'static,
     filter: &str,
 ) -> anyhow::Result<Log<impl Subscriber + Send + Sync>> {
     let (writer, guard) =
-        NonBlockingBuilder::default().buffered_lines_limit(RING).lossy(true).finish(out);
+        NonBlockingBuilder::default().buffered_lines_limit(BUFFER_LINES).lossy(true).finish(out);
     let dropped = Dropped(writer.error_counter());
     let subscriber = tracing_subscriber::fmt()
         .json()
--- a/crates/tgw-gateway/src/meters.rs
+++ b/crates/tgw-gateway/src/metrics.rs
@@ -17,11 +17,12 @@
 };
 use tgw_platform::Error;
 
-/// Upper bounds of the latency histogram, in ms: around the users' aims (100 to 400 ms).
-const BOUNDS: [f64; 12] =
+/// Upper bounds of the latency histogram in ms: dense around the latency targets of routes (100 to
+/// 400 ms).
+const LATENCY_BOUNDS_MS: [f64; 12] =
     [10.0, 20.0, 40.0, 60.0, 80.0, 100.0, 150.0, 200.0, 300.0, 400.0, 800.0, 2_000.0];
 
-/// Values that are read when the metrics are.
+/// Values of the gauges, which are read whenever metrics are collected.
 #[derive(Debug, Default)]
 pub(crate) struct Gauges {
     pub(crate) config: AtomicU64,
@@ -29,32 +30,32 @@
     pub(crate) upstreams: AtomicU64,
     pub(crate) vms: AtomicU64,
     pub(crate) running: AtomicU64,
-    pub(crate) idle: AtomicU64,
+    pub(crate) idle_connections: AtomicU64,
     pub(crate) lines_left_out: AtomicU64,
     pub(crate) lines_dropped: AtomicU64,
     pub(crate) hosted: AtomicU64,
-    pub(crate) room: AtomicU64,
+    pub(crate) free_memory_bytes: AtomicU64,
     pub(crate) ready: AtomicU64,
     pub(crate) unreadable: AtomicU64,
-    pub(crate) held: AtomicU64,
+    pub(crate) quarantined: AtomicU64,
     pub(crate) suspected: AtomicU64,
 }
 
-type Reading = (&'static str, &'static str, fn(&Gauges) -> &AtomicU64);
+type Gauge = (&'static str, &'static str, fn(&Gauges) -> &AtomicU64);
 
-const READINGS: [Reading; 14] = [
+const GAUGES: [Gauge; 14] = [
     ("tgw_config_version", "version of the configuration in force", |g| &g.config),
     ("tgw_config_since_ms", "when it came into force, in ms since the start", |g| &g.config_since),
     ("tgw_upstreams", "upstreams known", |g| &g.upstreams),
     ("tgw_vms", "live VMs that share connections and budgets", |g| &g.vms),
     ("tgw_requests_running", "requests that run", |g| &g.running),
-    ("tgw_connections_idle", "idle connections to upstreams", |g| &g.idle),
+    ("tgw_connections_idle", "idle connections to upstreams", |g| &g.idle_connections),
     ("tgw_log_lines_left_out", "log lines left out since the start", |g| &g.lines_left_out),
     ("tgw_log_lines_dropped", "log lines that the ring had no place for", |g| &g.lines_dropped),
-    ("tgw_body_bytes_free", "memory that is free for bodies", |g| &g.room),
+    ("tgw_body_bytes_free", "memory that is free for bodies", |g| &g.free_memory_bytes),
     ("tgw_sends_hosted", "sends that run for other VMs", |g| &g.hosted),
     ("tgw_entries_unreadable", "entries that name no upstream", |g| &g.unreadable),
-    ("tgw_requests_held", "requests held back, as upstreams end under them", |g| &g.held),
+    ("tgw_requests_held", "requests held back, as upstreams end under them", |g| &g.quarantined),
     ("tgw_requests_suspected", "requests under which an upstream ended, held back or not", |g| {
         &g.suspected
     }),
@@ -62,21 +63,21 @@
 ];
 
 /// The metrics of one process.
-pub(crate) struct Meters {
+pub(crate) struct Metrics {
     pub(crate) gauges: Arc<Gauges>,
     registry: Registry,
     _provider: SdkMeterProvider,
-    took: Histogram<f64>,
+    durations: Histogram<f64>,
     requests: Counter<u64>,
     sends: Counter<u64>,
-    ends: Counter<u64>,
-    losses: Counter<u64>,
-    store: Counter<u64>,
+    send_ends: Counter<u64>,
+    upstream_ends: Counter<u64>,
+    store_calls: Counter<u64>,
 }
 
-impl Meters {
+impl Metrics {
     /// Errors: the exporter cannot be set up.
-    pub(crate) fn open() -> anyhow::Result<Self> {
+    pub(crate) fn new() -> anyhow::Result<Self> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
             .with_registry(registry.clone())
@@ -85,24 +86,27 @@
         let provider = SdkMeterProvider::builder().with_reader(exporter).build();
         let meter = provider.meter("tanagergw");
         let gauges = Arc::new(Gauges::default());
-        for reading in READINGS {
-            observe(&meter, reading, gauges.clone());
+        for gauge in GAUGES {
+            register(&meter, gauge, gauges.clone());
         }
         Ok(Self {
-            took: meter.f64_histogram("tgw_request_ms").with_boundaries(BOUNDS.into()).build(),
+            durations: meter
+                .f64_histogram("tgw_request_ms")
+                .with_boundaries(LATENCY_BOUNDS_MS.into())
+                .build(),
             requests: meter.u64_counter("tgw_requests").build(),
             sends: meter.u64_counter("tgw_sends").build(),
-            ends: meter.u64_counter("tgw_sends_ended").build(),
-            losses: meter.u64_counter("tgw_upstreams_ended").build(),
-            store: meter.u64_counter("tgw_store_calls").build(),
+            send_ends: meter.u64_counter("tgw_sends_ended").build(),
+            upstream_ends: meter.u64_counter("tgw_upstreams_ended").build(),
+            store_calls: meter.u64_counter("tgw_store_calls").build(),
             gauges,
             registry,
             _provider: provider,
         })
     }
 
-    /// Counts an answered request; `cause` says why it was not served.
-    pub(crate) fn request(
+    /// Counts an answered request; `cause` states why it was not served.
+    pub(crate) fn count_request(
         &self,
         route: &str,
         outcome: &'static str,
@@ -110,13 +114,13 @@
         age: Millis,
     ) {
         let route = KeyValue::new("route", route.to_owned());
-        self.took.record(age.as_f64(), std::slice::from_ref(&route));
+        self.durations.record(age.as_f64(), std::slice::from_ref(&route));
         self.requests
             .add(1, &[route, KeyValue::new("outcome", outcome), KeyValue::new("cause", cause)]);
     }
 
     /// Counts a send.
-    pub(crate) fn send(&self, why: Why, distance: Distance, hop: Hop) {
+    pub(crate) fn count_send(&self, why: Why, distance: Distance, hop: Hop) {
         let why = match why {
             Why::First => "first",
             Why::Hedge => "hedge",
@@ -136,17 +140,17 @@
     }
 
     /// Counts the end of a send.
-    pub(crate) fn end(&self, sign: Sign) {
-        self.ends.add(1, &[KeyValue::new("result", sign.text())]);
+    pub(crate) fn count_send_end(&self, outcome: Sign) {
+        self.send_ends.add(1, &[KeyValue::new("result", outcome.text())]);
     }
 
     /// Counts an upstream of a service that ended under a send.
-    pub(crate) fn upstream_ended(&self, service: &str) {
-        self.losses.add(1, &[KeyValue::new("service", service.to_owned())]);
+    pub(crate) fn count_upstream_end(&self, service: &str) {
+        self.upstream_ends.add(1, &[KeyValue::new("service", service.to_owned())]);
     }
 
-    /// Counts a call of the store by what came of it.
-    pub(crate) fn store<T>(&self, call: &'static str, result: &Result<T, Error>) {
+    /// Counts a call to the store by its outcome.
+    pub(crate) fn count_store_call<T>(&self, call: &'static str, result: &Result<T, Error>) {
         let outcome = match result {
             Ok(_) => "done",
             Err(Error::Conflict { .. }) => "conflict",
@@ -154,21 +158,21 @@
             Err(Error::Unavailable { .. }) => "unavailable",
             Err(Error::Unknown { .. }) => "unknown",
         };
-        self.store.add(1, &[KeyValue::new("call", call), KeyValue::new("outcome", outcome)]);
+        self.store_calls.add(1, &[KeyValue::new("call", call), KeyValue::new("outcome", outcome)]);
     }
 
-    /// Sets the number of entries that name no upstream.
-    pub(crate) fn unreadable(&self, entries: usize) {
+    /// Sets the number of upstream entries that cannot be decoded.
+    pub(crate) fn set_unreadable(&self, entries: usize) {
         self.gauges.unreadable.store(entries as u64, Ordering::Relaxed);
     }
 
-    /// The Prometheus text.
-    pub(crate) fn text(&self) -> anyhow::Result<String> {
+    /// All metrics in the Prometheus text format.
+    pub(crate) fn render(&self) -> anyhow::Result<String> {
         Ok(TextEncoder::new().encode_to_string(&self.registry.gather())?)
     }
 }
 
-fn observe(meter: &Meter, (name, help, read): Reading, gauges: Arc<Gauges>) {
+fn register(meter: &Meter, (name, help, read): Gauge, gauges: Arc<Gauges>) {
     meter
         .u64_observable_gauge(name)
         .with_description(help)
--- a/crates/tgw-gateway/src/packets.rs
+++ b/crates/tgw-gateway/src/packets.rs
@@ -4,35 +4,35 @@
 use tgw_wire::{Error, Keys};
 use tokio::net::UdpSocket;
 
-/// Largest packet that is read, in bytes; larger parts go on connections of this VM.
-pub(crate) const PACKET: usize = 8 << 10;
+/// Largest packet that is read. A send whose request is larger is made on a connection of this VM.
+pub(crate) const MAX_PACKET_BYTES: usize = 8 << 10;
 
-/// Packets to and from other VMs.
+/// Socket for packets exchanged with other VMs.
 pub(crate) struct Packets {
     socket: UdpSocket,
     keys: Keys,
 }
 
 impl Packets {
-    /// Errors: the address is in use or not this machine's.
+    /// Errors: the address is in use or does not belong to this machine.
     pub(crate) async fn bind(addr: SocketAddr, keys: Keys) -> anyhow::Result<Self> {
-        let place = || format!("cannot listen for peers' packets at {addr}");
-        let socket = UdpSocket::bind(addr).await.with_context(place)?;
+        let context = || format!("cannot listen for peers' packets at {addr}");
+        let socket = UdpSocket::bind(addr).await.with_context(context)?;
         Ok(Self { socket, keys })
     }
 
-    /// Sends a packet; one that cannot be sent is lost, as any may be on its way.
+    /// Sends a packet. Errors are only logged, since any packet may be lost on its way.
     pub(crate) fn send(&self, to: SocketAddr, datagram: &Datagram) {
         let frame = match tgw_wire::seal(&self.keys, datagram) {
             Ok(frame) => frame,
-            Err(error) => return tracing::debug!(%error, %to, "packet not made"),
+            Err(error) => return tracing::debug!(%error, %to, "cannot encode packet"),
         };
         if let Err(error) = self.socket.try_send_to(&frame, to) {
-            tracing::debug!(%error, %to, "packet not sent");
+            tracing::debug!(%error, %to, "cannot send packet");
         }
     }
 
-    /// The next packet, read into `buffer`, or why it was refused.
+    /// Receives the next packet into `buffer` and decodes it, or returns why it was refused.
     pub(crate) async fn receive(
         &self,
         buffer: &mut [u8],
@@ -41,7 +41,7 @@
         Ok((tgw_wire::open(&self.keys, &buffer[..length]), from))
     }
 
-    /// The keys that frames are signed with.
+    /// The keys that sign frames.
     pub(crate) fn keys(&self) -> &Keys {
         &self.keys
     }
--- a/crates/tgw-gateway/src/peers.rs
+++ b/crates/tgw-gateway/src/peers.rs
@@ -1,10 +1,10 @@
 use crate::{
     hop::{self, Hosts},
-    note,
-    packets::PACKET,
-    quarantine::{self, Rounds},
+    packets::MAX_PACKET_BYTES,
+    quarantine::{self, Schedule},
     shared::Shared,
-    tell::Tell,
+    state_exchange::Transfers,
+    telemetry,
 };
 use rand::seq::SliceRandom;
 use std::{
@@ -34,44 +34,49 @@
     time::{MissedTickBehavior, interval, sleep},
 };
 
-/// Time in ms between looks at membership's timers, which lie 100 ms apart and more.
-const TICK: Duration = Duration::from_millis(100);
-/// VMs that are told of a late upstream: those of a region today. In a larger region each tells as
-/// many, drawn anew each time, so that the load of a VM does not grow with the fleet.
-const TOLD: usize = 32;
-/// Time between looks at the timers of a VM that starts.
-const START_TICK: Duration = Duration::from_millis(25);
-/// Time in ms between two looks at which VMs there are. While 295 start at once each hears of the others within
-/// 250 ms, one by one; counted at each of these, that was 26,000 counts over lists of 295.
-const COUNT: Millis = Millis::new(50);
-/// Time after the start until this VM may hold itself for a relay: by then it knows its peers.
-const SETTLE: Millis = Millis::new(1_500);
-/// The same for a VM that knows only itself, and so is the first of its domain: the platform names
-/// seeds up to 3 s late.
-const SETTLE_ALONE: Millis = Millis::new(4_500);
+/// Interval at which membership's timers are checked; they are 100 ms apart or more.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// Most VMs that receive a report on a slow upstream: enough for all VMs of a region of this size.
+/// In a larger region each report goes to as many random VMs, so that the load of a VM does not
+/// grow with the fleet.
+const MAX_REPORT_RECEIVERS: usize = 32;
+/// Interval at which the timers of a starting VM are checked.
+const START_TICK_INTERVAL: Duration = Duration::from_millis(25);
+/// Minimum interval between two counts of the live VMs. While 295 VMs start at once, each learns of
+/// the others one by one within 250 ms; a count at each of these would make 26,000 counts over
+/// lists of 295.
+const COUNT_INTERVAL_MS: Millis = Millis::new(50);
+/// Time after the start until this VM may become a relay: by then it knows its peers.
+const SETTLE_TIME_MS: Millis = Millis::new(1_500);
+/// The same for a VM that knows no other VM, and so is the first of its domain: the platform may
+/// name seeds up to 3 s late.
+const SETTLE_TIME_ALONE_MS: Millis = Millis::new(4_500);
 
-/// Versions above any: of a VM that was named by another as one that holds the state.
-const ANY: Versions = Versions { config: u64::MAX, upstreams: u64::MAX, evacuations: u64::MAX };
+/// Versions above any real one, for a VM whose versions are unknown but that another VM named as
+/// holding the state.
+const MAX_VERSIONS: Versions =
+    Versions { config: u64::MAX, upstreams: u64::MAX, evacuations: u64::MAX };
 
-/// Membership and the spread of news, with their sockets.
+/// Membership and dissemination of updates, with their sockets.
 pub(crate) struct Peers {
     pub(crate) shared: Rc<Shared>,
     member: RefCell<Member>,
-    /// Where the other live VMs of the region are reached.
-    near: RefCell<Vec<SocketAddr>>,
-    /// Where all other live VMs are reached.
-    pub(crate) others: RefCell<Vec<SocketAddr>>,
-    pub(crate) rounds: Rounds,
+    /// Addresses of the other live VMs of the region.
+    region_peers: RefCell<Vec<SocketAddr>>,
+    /// Addresses of all other live VMs.
+    pub(crate) all_peers: RefCell<Vec<SocketAddr>>,
+    pub(crate) schedule: Schedule,
     addr: SocketAddr,
-    pub(crate) tell: Tell,
-    /// Which VMs there are has changed since they were counted.
-    changed: Cell<bool>,
-    counted: Cell<Millis>,
+    pub(crate) transfers: Transfers,
+    /// The set of known VMs has changed since the last count.
+    membership_changed: Cell<bool>,
+    counted_at: Cell<Millis>,
 }
 
-/// This process's life: higher than that of an earlier one of the VM, if the time of day allows; if
-/// it was set back, the VM hears of its earlier life and takes a higher one.
-fn life() -> u64 {
+/// Incarnation of this process, from the time of day, so that it is higher than that of an earlier
+/// process of this VM. If the clock was set back, membership reports the earlier incarnation to
+/// this VM, which then takes a higher one.
+fn incarnation_now() -> u64 {
     let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     since.map_or(0, |d| u64::try_from(d.as_millis()).unwrap_or_default())
 }
@@ -84,7 +89,7 @@
         let options = tgw_member::Options {
             vm: Vm::named(&shared.settings.vm),
             name: shared.settings.vm.clone(),
-            incarnation: life(),
+            incarnation: incarnation_now(),
             place: peer.place,
             addr,
             seeds: peer.seeds.clone(),
@@ -94,172 +99,180 @@
         let peers = Rc::new(Self {
             shared,
             member,
-            near: RefCell::default(),
-            others: RefCell::default(),
-            rounds: Rounds::default(),
+            region_peers: RefCell::default(),
+            all_peers: RefCell::default(),
+            schedule: Schedule::default(),
             addr,
-            tell: Tell::default(),
-            changed: Cell::new(false),
-            counted: Cell::new(Millis::ZERO),
+            transfers: Transfers::default(),
+            membership_changed: Cell::new(false),
+            counted_at: Cell::new(Millis::ZERO),
         });
         tokio::task::spawn_local(peers.clone().run());
-        tokio::task::spawn_local(peers.clone().find_state());
+        tokio::task::spawn_local(peers.clone().fetch_state());
         tokio::task::spawn_local(peers.clone().accept(tcp));
         Ok(peers)
     }
 
-    /// Where it listens.
+    /// The address on which this VM listens for peers.
     pub(crate) fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Tells the others that this VM leaves.
+    /// Announces to the other VMs that this one leaves.
     pub(crate) fn leave(self: &Rc<Self>) {
-        self.on(Event::Leave);
+        self.on_member_event(Event::Leave);
     }
 
-    /// Whether no other VM is known to live.
-    pub(crate) fn alone(&self) -> bool {
+    /// Whether this VM knows no other live VM.
+    pub(crate) fn is_alone(&self) -> bool {
         self.member.borrow().directory().owners().count() <= 1
     }
 
-    /// Names further VMs to ask.
-    pub(crate) fn seeds(self: &Rc<Self>, seeds: Vec<SocketAddr>) {
-        self.on(Event::Seeds(seeds));
+    /// Adds VMs to ask for membership.
+    pub(crate) fn add_seeds(self: &Rc<Self>, seeds: Vec<SocketAddr>) {
+        self.on_member_event(Event::Seeds(seeds));
     }
 
     async fn run(self: Rc<Self>) {
-        let mut tick = interval(TICK);
+        let mut tick = interval(TICK_INTERVAL);
         tick.set_missed_tick_behavior(MissedTickBehavior::Skip);
-        let mut buffer = vec![0; PACKET];
+        let mut buffer = vec![0; MAX_PACKET_BYTES];
         loop {
             tokio::select! {
                 received = self.shared.packets.receive(&mut buffer) => match received {
-                    Ok((packet, from)) => self.packet(packet, from),
-                    Err(error) => tracing::debug!(%error, "packet not received"),
+                    Ok((received_packet, from)) => self.on_packet(received_packet, from),
+                    Err(error) => tracing::debug!(%error, "cannot receive packet"),
                 },
-                () = self.shared.news.notified() => self.told(),
+                () = self.shared.update_ready.notified() => self.disseminate(),
                 _ = tick.tick() => {
-                    self.on(Event::Tick);
-                    self.give_up();
-                    self.settle();
-                    self.pass_on();
-                    self.repeat();
+                    self.on_member_event(Event::Tick);
+                    self.expire_upstreams();
+                    self.update_relay();
+                    self.forward_updates();
+                    self.send_quarantine_round();
                 }
             }
-            self.count_changed();
+            self.recount_if_due();
         }
     }
 
-    /// Gives up upstreams whose entries stayed missing. Done by a timer of its own: where it waited for a pause between
-    /// news, a steady stream of these kept upstreams that had left for good.
-    fn give_up(&self) {
+    /// Removes upstreams whose entries have been missing for too long. This has a timer of its own:
+    /// when it waited for a pause between updates, a steady stream of updates kept upstreams that
+    /// had left for good.
+    fn expire_upstreams(&self) {
         let mut core = self.shared.core.borrow_mut();
-        let gone =
+        let removed =
             self.shared.world.borrow_mut().upstreams.tick(self.shared.now(), &mut core.fleet);
         drop(core);
-        if gone {
-            note::doubts(&self.shared);
+        if removed {
+            telemetry::suspicion_changes(&self.shared);
         }
     }
 
-    /// Asks other VMs for the state until this one holds it.
-    async fn find_state(self: Rc<Self>) {
+    /// Requests the state from other VMs until this VM holds it.
+    async fn fetch_state(self: Rc<Self>) {
         while !self.shared.start.borrow().is_over() {
-            self.on_start(start::Event::Tick);
-            sleep(START_TICK).await;
+            self.on_start_event(start::Event::Tick);
+            sleep(START_TICK_INTERVAL).await;
         }
-        tracing::info!("start is over: configuration and upstreams are known");
+        tracing::info!("start completed: configuration and upstreams are known");
     }
 
-    /// Tells what decides the start of this VM.
-    pub(crate) fn on_start(self: &Rc<Self>, event: start::Event<'_>) {
-        let there = match &event {
+    /// Passes an event to the start-up logic of this VM and carries out the resulting actions.
+    pub(crate) fn on_start_event(self: &Rc<Self>, event: start::Event<'_>) {
+        let versions = match &event {
             start::Event::Found(_, Found { config, upstreams, .. }) => {
                 Versions { config: *config, upstreams: *upstreams, evacuations: 0 }
             }
-            _ => ANY,
+            _ => MAX_VERSIONS,
         };
         let mut actions = Vec::new();
         self.shared.start.borrow_mut().on(self.shared.now(), event, &mut actions);
         for action in actions {
             match action {
                 start::Action::Seek(addr) => self.shared.packets.send(addr, &Datagram::Seek),
-                start::Action::Ask(addr) => self.ask(addr, there),
+                start::Action::Ask(addr) => self.request_state(addr, versions),
             }
         }
     }
 
-    /// Passes on what this VM learned.
-    fn told(self: &Rc<Self>) {
+    /// Disseminates what this VM has learned.
+    fn disseminate(self: &Rc<Self>) {
         let Versions { config, upstreams, evacuations } = self.versions();
-        self.shared.note_held();
-        self.tell_late();
-        self.pass_on();
-        self.on(Event::Edit(config));
-        self.on(Event::World(upstreams));
-        self.on(Event::Evacuations(evacuations));
-        self.on(Event::Blind(self.shared.sight.borrow().is_blind()));
+        self.shared.record_versions();
+        self.send_reports();
+        self.forward_updates();
+        self.on_member_event(Event::Edit(config));
+        self.on_member_event(Event::World(upstreams));
+        self.on_member_event(Event::Evacuations(evacuations));
+        self.on_member_event(Event::Blind(self.shared.reachability.borrow().is_blind()));
     }
 
     pub(crate) fn versions(&self) -> Versions {
         self.shared.world.borrow().versions()
     }
 
-    fn packet(self: &Rc<Self>, packet: Result<Datagram, Error>, from: SocketAddr) {
-        match packet {
-            Ok(Datagram::Member(packet)) => {
+    fn on_packet(self: &Rc<Self>, received_packet: Result<Datagram, Error>, from: SocketAddr) {
+        match received_packet {
+            Ok(Datagram::Member(member_packet)) => {
                 self.shared.core.borrow_mut().fleet.heard(self.shared.now());
-                self.on(Event::Packet(from, packet));
+                self.on_member_event(Event::Packet(from, member_packet));
             }
-            Ok(Datagram::Late(upstreams)) => {
+            Ok(Datagram::Late(reports)) => {
                 let now = self.shared.now();
                 let mut core = self.shared.core.borrow_mut();
-                for late in upstreams {
+                for late in reports {
                     let Late { upstream, started, overdue, expected } = late;
-                    let word = Word { overdue, expected: f64::from(expected) };
-                    core.fleet.told(now, &upstream, started, word);
+                    let report = Word { overdue, expected: f64::from(expected) };
+                    core.fleet.told(now, &upstream, started, report);
                 }
             }
-            Ok(Datagram::Hop(request)) => hop::host(&self.shared, from, *request),
+            Ok(Datagram::Hop(request)) => hop::accept(&self.shared, from, *request),
             Ok(Datagram::HopEnded(reply)) => self.shared.hops.ended(from, *reply),
             Ok(Datagram::HopCancelled(number)) => self.shared.hops.cancel(from, number),
             Ok(Datagram::Seek) => {
-                self.shared.packets.send(from, &Datagram::Found(self.found()));
-                if let Some(news) = self.held() {
-                    self.shared.packets.send(from, &Datagram::Quarantine(news));
+                self.shared.packets.send(from, &Datagram::Found(self.start_status()));
+                if let Some(update) = self.next_quarantined() {
+                    self.shared.packets.send(from, &Datagram::Quarantine(update));
                 }
             }
-            Ok(Datagram::Quarantine(news)) => quarantine::hear(&self.shared, from, &news),
-            Ok(Datagram::Found(found)) => self.on_start(start::Event::Found(from, found)),
+            Ok(Datagram::Quarantine(update)) => {
+                quarantine::apply_update(&self.shared, from, &update);
+            }
+            Ok(Datagram::Found(found)) => self.on_start_event(start::Event::Found(from, found)),
             Err(error) => tracing::debug!(%error, %from, "packet refused"),
         }
     }
 
-    /// How far this VM is.
-    fn found(&self) -> Found {
+    /// Describes how complete the state of this VM is.
+    fn start_status(&self) -> Found {
         let Versions { config, upstreams, .. } = self.versions();
-        Found { config, upstreams, reads: self.shared.reading.both() }
+        Found { config, upstreams, reads: self.shared.store_reads.all() }
     }
 
-    pub(crate) fn on(self: &Rc<Self>, event: Event) {
+    pub(crate) fn on_member_event(self: &Rc<Self>, event: Event) {
         let mut actions = Vec::new();
         self.member.borrow_mut().on(self.shared.now(), event, &mut actions);
         for action in actions {
             match action {
-                Action::Send(to, packet) => self.shared.packets.send(to, &Datagram::Member(packet)),
+                Action::Send(to, member_packet) => {
+                    self.shared.packets.send(to, &Datagram::Member(member_packet));
+                }
                 Action::Sync(to, records) => {
                     let peers = self.clone();
                     tokio::task::spawn_local(async move {
                         let message = Message::Records(records);
                         if let Err(error) = peers.exchange(to, &message, false).await {
-                            tracing::debug!(%error, %to, "records not sent");
+                            tracing::debug!(%error, %to, "cannot send membership records");
                         }
                     });
                 }
-                Action::Changed => self.changed.set(true),
+                Action::Changed => self.membership_changed.set(true),
                 Action::Newer { addr, edit, world, evacuations, .. } => {
-                    self.ask(addr, Versions { config: edit, upstreams: world, evacuations });
+                    self.request_state(
+                        addr,
+                        Versions { config: edit, upstreams: world, evacuations },
+                    );
                 }
                 Action::Paused(gap) => {
                     tracing::warn!(gap_ms = gap.whole(), "this VM was paused");
@@ -269,52 +282,55 @@
         }
     }
 
-    /// Tells VMs of the region which upstreams are late.
-    fn tell_late(&self) {
-        let late = self.shared.late.take();
-        if late.is_empty() {
+    /// Sends the queued reports on slow upstreams to VMs of the region.
+    fn send_reports(&self) {
+        let reports = self.shared.pending_reports.take();
+        if reports.is_empty() {
             return;
         }
-        let mut near = self.near.borrow().clone();
-        near.shuffle(&mut rand::rng());
-        let datagram = Datagram::Late(late);
-        near.into_iter().take(TOLD).for_each(|to| self.shared.packets.send(to, &datagram));
+        let mut receivers = self.region_peers.borrow().clone();
+        receivers.shuffle(&mut rand::rng());
+        let datagram = Datagram::Late(reports);
+        receivers
+            .into_iter()
+            .take(MAX_REPORT_RECEIVERS)
+            .for_each(|to| self.shared.packets.send(to, &datagram));
     }
 
-    /// Counts the VMs anew if there are others than before, at most once in a while.
-    fn count_changed(self: &Rc<Self>) {
+    /// Counts the VMs again if they have changed, limited to one count per interval.
+    fn recount_if_due(self: &Rc<Self>) {
         let now = self.shared.now();
-        if self.changed.get() && now - self.counted.get() >= COUNT {
-            self.changed.set(false);
-            self.counted.set(now);
-            self.count();
+        if self.membership_changed.get() && now - self.counted_at.get() >= COUNT_INTERVAL_MS {
+            self.membership_changed.set(false);
+            self.counted_at.set(now);
+            self.count_vms();
         }
     }
 
-    fn count(self: &Rc<Self>) {
+    fn count_vms(self: &Rc<Self>) {
         let directory = self.member.borrow().directory();
-        self.shared.blind_near.set(self.member.borrow().blind_near());
-        self.reach(&directory);
+        self.shared.peers_without_store.set(self.member.borrow().blind_near());
+        self.update_hosts(&directory);
         let own = Vm::named(&self.shared.settings.vm);
-        let here = directory.members.get(&own).map(|m| m.place.region);
+        let own_region = directory.members.get(&own).map(|m| m.place.region);
         let all = directory.owners().count();
         let others = || directory.owners().filter(|(vm, _)| *vm != own);
-        let beside = others().filter(|(_, m)| Some(m.place.region) == here);
-        let beside: Vec<SocketAddr> = beside.map(|(_, m)| m.addr).collect();
-        let near = beside.len() + 1;
-        self.on_start(start::Event::Peers(&beside));
-        self.near.replace(beside);
-        self.others.replace(others().map(|(_, m)| m.addr).collect());
-        let numbers = others().map(|(vm, _)| vm.0).collect();
-        self.shared.core.borrow_mut().quarantine.set_vms(own.0, numbers);
+        let in_region = others().filter(|(_, m)| Some(m.place.region) == own_region);
+        let in_region: Vec<SocketAddr> = in_region.map(|(_, m)| m.addr).collect();
+        let near = in_region.len() + 1;
+        self.on_start_event(start::Event::Peers(&in_region));
+        self.region_peers.replace(in_region);
+        self.all_peers.replace(others().map(|(_, m)| m.addr).collect());
+        let other_vms = others().map(|(vm, _)| vm.0).collect();
+        self.shared.core.borrow_mut().quarantine.set_vms(own.0, other_vms);
         let count = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
         let vms = Vms { all: count(all), near: count(near) };
-        // At its start a VM knows only itself, and would take all connections for its own.
-        if !self.settled() && vms.all <= self.shared.core.borrow().vms().all {
+        // At its start a VM knows no other VM, and would claim all connections as its own share.
+        if !self.is_settled() && vms.all <= self.shared.core.borrow().vms().all {
             return;
         }
         let mut core = self.shared.core.borrow_mut();
-        if self.settled() {
+        if self.is_settled() {
             core.fleet.set_roster(self.roster(&directory));
         }
         if core.vms() != vms {
@@ -323,7 +339,8 @@
         }
     }
 
-    /// The VMs among which rights to send to cold upstreams are held. One that leaves gives its rights up by itself.
+    /// The VMs that can hold leases to send to cold upstreams. A leaving VM releases its leases by
+    /// itself.
     fn roster(&self, directory: &Directory) -> Roster {
         let member = self.member.borrow();
         let mut domains: BTreeMap<Rc<str>, Vec<Seat>> = BTreeMap::new();
@@ -341,8 +358,8 @@
         Roster::new(Vm::named(&self.shared.settings.vm).0, domains)
     }
 
-    /// Takes over where the live VMs of other regions are.
-    fn reach(&self, directory: &Directory) {
+    /// Updates the addresses of the live VMs of other regions.
+    fn update_hosts(&self, directory: &Directory) {
         let place = &self.shared.settings.place;
         let mut hosts = Hosts::default();
         for (_, member) in directory.owners() {
@@ -354,21 +371,21 @@
         if let Some(own) = place.regions.get(&place.domain) {
             hosts.regions.remove(own);
         }
-        let manned = hosts.regions.keys().cloned().collect();
-        self.shared.core.borrow_mut().fleet.set_manned(manned);
+        let served_regions = hosts.regions.keys().cloned().collect();
+        self.shared.core.borrow_mut().fleet.set_manned(served_regions);
         self.shared.hops.set_hosts(hosts);
     }
 
-    fn settled(&self) -> bool {
-        self.shared.now() >= if self.alone() { SETTLE_ALONE } else { SETTLE }
+    fn is_settled(&self) -> bool {
+        self.shared.now() >= if self.is_alone() { SETTLE_TIME_ALONE_MS } else { SETTLE_TIME_MS }
     }
 
-    fn settle(self: &Rc<Self>) {
-        if self.shared.relay.borrow().is_none() && !self.settled() {
+    fn update_relay(self: &Rc<Self>) {
+        if self.shared.relay.borrow().is_none() && !self.is_settled() {
             return;
         }
         if self.shared.relay.borrow().is_none() {
-            self.count();
+            self.count_vms();
         }
         let relay = self.member.borrow().follows();
         self.shared.relay.send_if_modified(|known| {
--- a/crates/tgw-gateway/src/pool.rs
+++ b/crates/tgw-gateway/src/pool.rs
@@ -8,30 +8,31 @@
 use tgw_forward::fleet::Key;
 use tokio::{net::TcpStream, time::timeout};
 
-/// Longest time in ms for a connection to be made: above the longest way there and back (40 ms) and
-/// the 6 ms that an upstream takes.
-const CONNECT_MS: u64 = 250;
-/// Time in which an upstream of this failure domain that is full resets a new connection. From another
-/// region the reset comes one way there and back later: it is told apart by the connection's being new.
-const REFUSAL: Duration = Duration::from_millis(2);
-/// Idle time in ms after which a connection is not used again where the upstream states none.
-const IDLE_MS: u64 = 4_000;
-/// Idle time in ms of connections beyond those that are kept: longer than the gap between bursts.
-const EXTRA_IDLE_MS: u64 = 700;
-/// Time in ms before the stated idle time at which a connection is not used any more: the
-/// upstream's close may be on its way, and a request that crosses it would be lost.
+/// Timeout for making a connection: longer than the longest round trip (40 ms) plus the 6 ms that
+/// an upstream takes.
+const CONNECT_TIMEOUT_MS: u64 = 250;
+/// Time within which an upstream of this failure domain resets a new connection if it has reached
+/// its connection limit. From another region the reset comes one round trip later; it is then
+/// recognized because the connection is new.
+const RESET_WAIT: Duration = Duration::from_millis(2);
+/// Idle timeout of a connection if the upstream states none.
+const DEFAULT_IDLE_TIMEOUT_MS: u64 = 4_000;
+/// Idle timeout of connections beyond the number to keep: longer than the gap between bursts.
+const EXCESS_IDLE_TIMEOUT_MS: u64 = 700;
+/// Time before the stated idle timeout from which a connection is no longer used: the upstream may
+/// already be closing it, and a request sent meanwhile would be lost.
 const IDLE_MARGIN_MS: u64 = 800;
 
 /// One connection to an upstream.
 pub(crate) struct Connection {
     pub(crate) sender: SendRequest<Full<Bytes>>,
-    /// It carried a request before.
+    /// The connection has carried a request before.
     pub(crate) used: bool,
 }
 
 struct Idle {
     connection: Connection,
-    until: Millis,
+    expires_at: Millis,
 }
 
 /// The idle connections to all upstreams.
@@ -39,40 +40,41 @@
 pub(crate) struct Pools(RefCell<HashMap<Key, Vec<Idle>>>);
 
 impl Pools {
-    /// The connection used last that is still usable.
+    /// The most recently used connection that is still usable.
     pub(crate) fn take(&self, now: Millis, key: Key) -> Option<Connection> {
         let mut pools = self.0.borrow_mut();
         let idle = pools.get_mut(&key)?;
         while let Some(last) = idle.pop() {
-            if now < last.until && !last.connection.sender.is_closed() {
+            if now < last.expires_at && !last.connection.sender.is_closed() {
                 return Some(last.connection);
             }
         }
         None
     }
 
-    /// Keeps a connection after a complete reply; `stated` is the upstream's idle time in s, `keep`
-    /// the number of connections that are kept for long.
+    /// Keeps a connection after a complete reply. `stated_idle_s` is the upstream's idle timeout in s,
+    /// `keep` the number of connections kept for the full idle timeout.
     pub(crate) fn put(
         &self,
         now: Millis,
         key: Key,
         mut connection: Connection,
-        stated: Option<u64>,
+        stated_idle_s: Option<u64>,
         keep: usize,
     ) {
         let mut pools = self.0.borrow_mut();
-        let kept = pools.entry(key).or_default();
-        let idle = stated.map_or(IDLE_MS, |s| (s * 1_000).saturating_sub(IDLE_MARGIN_MS));
-        // Connections of VMs that lost power count at an upstream for seconds more. Where all VMs
-        // held all that they may, none could connect after their restart.
-        let idle = if kept.len() >= keep { idle.min(EXTRA_IDLE_MS) } else { idle };
+        let connections = pools.entry(key).or_default();
+        let idle = stated_idle_s
+            .map_or(DEFAULT_IDLE_TIMEOUT_MS, |s| (s * 1_000).saturating_sub(IDLE_MARGIN_MS));
+        // An upstream counts connections of VMs that lost power for some seconds more. If all VMs
+        // held all the connections they may, none could connect after their restart.
+        let idle = if connections.len() >= keep { idle.min(EXCESS_IDLE_TIMEOUT_MS) } else { idle };
         if idle == 0 || connection.sender.is_closed() {
             return;
         }
         connection.used = true;
-        let until = now + Millis::new(idle);
-        kept.push(Idle { connection, until });
+        let expires_at = now + Millis::new(idle);
+        connections.push(Idle { connection, expires_at });
     }
 
     /// The number of idle connections.
@@ -80,40 +82,41 @@
         self.0.borrow().values().map(Vec::len).sum()
     }
 
-    /// Closes what is past its idle time.
-    pub(crate) fn sweep(&self, now: Millis, known: impl Fn(Key) -> bool) {
+    /// Closes connections past their idle timeout.
+    pub(crate) fn sweep(&self, now: Millis, is_known: impl Fn(Key) -> bool) {
         self.0.borrow_mut().retain(|key, idle| {
-            idle.retain(|i| now < i.until && !i.connection.sender.is_closed());
-            known(*key) && !idle.is_empty()
+            idle.retain(|i| now < i.expires_at && !i.connection.sender.is_closed());
+            is_known(*key) && !idle.is_empty()
         });
     }
 }
 
-/// Tells the core of a connection for as long as it is open.
-struct Open {
+/// Counts a connection as open in the core until it is dropped.
+struct OpenConnection {
     shared: Rc<Shared>,
     key: Key,
 }
 
-impl Open {
+impl OpenConnection {
     fn new(shared: &Rc<Shared>, key: Key) -> Self {
         shared.core.borrow_mut().fleet.opened(key);
         Self { shared: shared.clone(), key }
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenConnection {
     fn drop(&mut self) {
         self.shared.core.borrow_mut().fleet.closed(self.key);
     }
 }
 
-/// Waits for a reset that follows the making of a connection. Errors: it came.
-async fn refused(stream: &TcpStream) -> io::Result<()> {
-    // An upstream that holds as many connections as it accepts lets the operating system take one
-    // more and resets it. A request sent meanwhile would have to count as one that may have run: it
-    // used up its attempts and the budget, and after a restart of all VMs little else was sent.
-    match timeout(REFUSAL, stream.readable()).await {
+/// Waits for a reset that follows a successful connect. Errors: the connection was reset.
+async fn detect_reset(stream: &TcpStream) -> io::Result<()> {
+    // If an upstream has reached its connection limit, its operating system still accepts one more
+    // connection and then resets it. A request sent meanwhile would count as one that may have run:
+    // it would use up its attempts and the retry budget, and after a restart of all VMs almost
+    // nothing else was sent.
+    match timeout(RESET_WAIT, stream.readable()).await {
         Err(_) => Ok(()),
         Ok(readable) => {
             readable?;
@@ -126,20 +129,20 @@
     }
 }
 
-/// Makes a connection to the upstream of `key` within `left`.
+/// Connects to the upstream of `key` within `remaining`.
 pub(crate) async fn connect(
     shared: &Rc<Shared>,
     key: Key,
     addr: SocketAddr,
-    left: Millis,
+    remaining: Millis,
 ) -> io::Result<Connection> {
-    let limit: Duration = left.min(Millis::new(CONNECT_MS)).into();
+    let limit: Duration = remaining.min(Millis::new(CONNECT_TIMEOUT_MS)).into();
     let stream = timeout(limit, TcpStream::connect(addr)).await??;
-    socket::guard(&stream)?;
-    refused(&stream).await?;
+    socket::configure(&stream)?;
+    detect_reset(&stream).await?;
     let (sender, driver) =
         http1::handshake(TokioIo::new(stream)).await.map_err(io::Error::other)?;
-    let open = Open::new(shared, key);
+    let open = OpenConnection::new(shared, key);
     tokio::task::spawn_local(async move {
         let _open = open;
         if let Err(error) = driver.await {
--- a/crates/tgw-gateway/src/quarantine.rs
+++ b/crates/tgw-gateway/src/quarantine.rs
@@ -1,6 +1,7 @@
-//! Requests under which upstreams end: what this VM saw, what VMs tell one another, what operators are told.
+//! Quarantine of requests under which upstreams end: evidence seen by this VM, dissemination among
+//! VMs, and the view for operators.
 
-use crate::{loss::Break, peers::Peers, shared::Shared};
+use crate::{broken::BrokenSend, peers::Peers, shared::Shared};
 use rand::seq::IndexedRandom;
 use serde::{Deserialize, Serialize};
 use std::{cell::Cell, net::SocketAddr};
@@ -13,165 +14,173 @@
 };
 use tgw_spread::message::Datagram;
 
-/// Where operators ask for it, at the readiness address; with a fingerprint behind it, of one request.
+/// Path at the readiness address where operators list quarantined requests; followed by a
+/// fingerprint, it names one of them.
 pub const PATH: &str = "/quarantine";
 
-/// VMs to which each one passes on what is new to it. All of 7; of 300 a word reaches 0.9996 in three steps
-/// (1 - e^-8), and those that it misses hear of what is held back within seconds.
+/// Number of VMs to which each VM forwards new evidence: all of a fleet of 7. In a fleet of 300 an
+/// update reaches 0.9996 of the VMs in three steps (1 - e^-8); the others learn of quarantined
+/// requests within seconds through anti-entropy.
 const FANOUT: usize = 8;
-/// VMs that are told in each round what is held back, whether or not they know.
-const ROUND: usize = 2;
-/// Time in ms between two such rounds.
-const EVERY: Millis = Millis::new(1_000);
-/// Packets of news that are passed on in a second, at most, to each of `FANOUT`: somebody who sends thousands of
-/// deadly requests must not take the links with it.
-const PASSED_ON: u32 = 50;
-
-/// When what is held back is told.
+/// Number of VMs that receive the quarantine in each round of anti-entropy, whether or not they
+/// know it.
+const ANTI_ENTROPY_FANOUT: usize = 2;
+/// Interval between two rounds of anti-entropy.
+const ANTI_ENTROPY_INTERVAL_MS: Millis = Millis::new(1_000);
+/// Most packets of updates forwarded per second to each of `FANOUT` VMs, so that a caller that
+/// sends thousands of deadly requests does not saturate the network links.
+const MAX_FORWARDS_PER_S: u32 = 50;
+
+/// Limits and timers for the dissemination of the quarantine.
 #[derive(Debug, Default)]
-pub(crate) struct Rounds {
-    /// Of those that are told in rounds, the first of the next one.
-    from: Cell<usize>,
-    at: Cell<Millis>,
+pub(crate) struct Schedule {
+    /// Position in the quarantine at which the next round of anti-entropy starts.
+    next: Cell<usize>,
+    next_round_at: Cell<Millis>,
     second: Cell<u64>,
-    passed_on: Cell<u32>,
+    forwards: Cell<u32>,
 }
 
-impl Rounds {
-    /// Whether one more packet of news may be passed on.
-    fn allow(&self, now: Millis) -> bool {
+impl Schedule {
+    /// Whether one more packet of updates may be forwarded in this second.
+    fn allow_forward(&self, now: Millis) -> bool {
         let second = now.whole() / 1_000;
         if self.second.replace(second) != second {
-            self.passed_on.set(0);
+            self.forwards.set(0);
         }
-        let passed_on = self.passed_on.get();
-        self.passed_on.set(passed_on + 1);
-        passed_on < PASSED_ON
+        let forwards = self.forwards.get();
+        self.forwards.set(forwards + 1);
+        forwards < MAX_FORWARDS_PER_S
     }
 }
 
-/// An upstream ended under a send of this VM.
-pub(crate) fn ended(shared: &Shared, entry: &Entry, broken: &Break) {
+/// Records that an upstream ended under a send of this VM.
+pub(crate) fn record_end(shared: &Shared, entry: &Entry, broken: &BrokenSend) {
     let incarnation = format!("{}/{}", entry.id, entry.started);
     let (service, upstream) = (ledger::name(&entry.service), ledger::name(&incarnation));
-    let end = End { print: broken.print, service, upstream, seen: broken.seen };
+    let end = End { print: broken.fingerprint, service, upstream, seen: broken.seen };
     let change = shared.core.borrow_mut().quarantine.ended(shared.now(), &end);
-    told(end.print, change, "seen here");
+    log_change(end.print, change, "seen here");
     if change != Change::None {
-        shared.news.notify_one();
+        shared.update_ready.notify_one();
     }
 }
 
-/// Takes over what another VM tells.
-pub(crate) fn hear(shared: &Shared, from: SocketAddr, news: &News) {
+/// Applies an update from another VM.
+pub(crate) fn apply_update(shared: &Shared, from: SocketAddr, update: &News) {
     let now = shared.now();
     let ledger = &mut shared.core.borrow_mut().quarantine;
-    let ends = news.ends.iter().map(|end| (end.print, ledger.ended(now, end)));
+    let ends = update.ends.iter().map(|end| (end.print, ledger.ended(now, end)));
     let mut changes: Vec<(Fingerprint, Change)> = ends.collect();
-    changes.extend(news.holds.iter().map(|hold| (hold.print, ledger.merge(now, hold))));
-    for (print, change) in &changes {
-        told(*print, *change, &from.to_string());
+    changes.extend(update.holds.iter().map(|hold| (hold.print, ledger.merge(now, hold))));
+    for (fingerprint, change) in &changes {
+        log_change(*fingerprint, *change, &from.to_string());
     }
     if changes.iter().any(|(_, change)| *change != Change::None) {
-        shared.news.notify_one();
+        shared.update_ready.notify_one();
     }
 }
 
-/// A request that was held back was tried again, and answered.
-pub(crate) fn answered(shared: &Shared, print: Fingerprint) {
-    told(print, Change::Released, "an upstream's answer");
-    shared.news.notify_one();
+/// Announces that a quarantined request was released because a trial of it was answered.
+pub(crate) fn trial_answered(shared: &Shared, fingerprint: Fingerprint) {
+    log_change(fingerprint, Change::Released, "an upstream's answer");
+    shared.update_ready.notify_one();
 }
 
-/// Lets a request go that is held back. Returns whether it was.
-pub(crate) fn release(shared: &Shared, print: Fingerprint) -> bool {
-    let released = shared.core.borrow_mut().quarantine.release(shared.now(), print);
+/// Releases a quarantined request on behalf of an operator; false if it was not quarantined.
+pub(crate) fn release(shared: &Shared, fingerprint: Fingerprint) -> bool {
+    let released = shared.core.borrow_mut().quarantine.release(shared.now(), fingerprint);
     if released {
-        told(print, Change::Released, "operator");
-        shared.news.notify_one();
+        log_change(fingerprint, Change::Released, "operator");
+        shared.update_ready.notify_one();
     }
     released
 }
 
-fn told(print: Fingerprint, change: Change, source: &str) {
+fn log_change(fingerprint: Fingerprint, change: Change, source: &str) {
     match change {
         Change::None | Change::Ended => {}
-        Change::Held { all } => tracing::warn!(%print, all, source, "request held back"),
-        Change::Released => tracing::warn!(%print, source, "request let go"),
+        Change::Held { all } => {
+            tracing::warn!(print = %fingerprint, all, source, "request quarantined");
+        }
+        Change::Released => {
+            tracing::warn!(print = %fingerprint, source, "request released from quarantine");
+        }
     }
 }
 
-/// A request that is held back, as operators are shown it.
+/// A quarantined request as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Held {
-    /// Its fingerprint, as log lines bear it.
+    /// The request's fingerprint, as in log lines.
     pub print: String,
-    /// It is held back everywhere, not at some services only.
+    /// The request is quarantined at all services, not only at some.
     pub everywhere: bool,
-    /// Upstreams that ended under it, as far as this VM remembers them.
+    /// Number of upstreams that ended under the request, as far as this VM remembers.
     pub ended: usize,
-    /// How often it was tried again.
+    /// Number of trials of the request so far.
     pub trials: u8,
-    /// Time until it may be tried again, in ms.
+    /// Time until the next trial is allowed.
     pub wait_ms: u64,
-    /// Time since this VM was last asked for it, in ms.
+    /// Time since this VM last received the request.
     pub idle_ms: u64,
 }
 
-/// What is held back.
+/// All quarantined requests.
 pub(crate) fn list(shared: &Shared) -> Vec<Held> {
-    let held = shared.core.borrow().quarantine.list(shared.now());
-    let shown = held.into_iter().map(|held| Held {
-        print: held.print.to_string(),
-        everywhere: held.all,
-        ended: held.ended,
-        trials: held.trials,
-        wait_ms: held.wait.whole(),
-        idle_ms: held.idle.whole(),
+    let quarantined = shared.core.borrow().quarantine.list(shared.now());
+    let shown = quarantined.into_iter().map(|request| Held {
+        print: request.print.to_string(),
+        everywhere: request.all,
+        ended: request.ended,
+        trials: request.trials,
+        wait_ms: request.wait.whole(),
+        idle_ms: request.idle.whole(),
     });
     shown.collect()
 }
 
 impl Peers {
-    /// Passes on what is new to this VM.
-    pub(crate) fn pass_on(&self) {
+    /// Forwards evidence that is new to this VM.
+    pub(crate) fn forward_updates(&self) {
         let now = self.shared.now();
         if self.shared.core.borrow().quarantine.is_empty() {
             return;
         }
-        while self.rounds.allow(now) {
-            let Some(news) = self.shared.core.borrow_mut().quarantine.take_news() else { return };
-            self.send_to_some(FANOUT, &Datagram::Quarantine(news));
+        while self.schedule.allow_forward(now) {
+            let Some(update) = self.shared.core.borrow_mut().quarantine.take_news() else { return };
+            self.send_to_random(FANOUT, &Datagram::Quarantine(update));
         }
     }
 
-    /// Tells some VMs all that is held back: a word may have been lost, and a VM that was cut off or has started
-    /// heard none.
-    pub(crate) fn repeat(&self) {
+    /// Sends quarantined requests to some random VMs (anti-entropy): an earlier update may have
+    /// been lost, and a VM that was partitioned or has just started received none.
+    pub(crate) fn send_quarantine_round(&self) {
         let now = self.shared.now();
-        if now < self.rounds.at.get() {
+        if now < self.schedule.next_round_at.get() {
             return;
         }
-        self.rounds.at.set(now + EVERY);
-        if let Some(news) = self.held() {
-            self.send_to_some(ROUND, &Datagram::Quarantine(news));
+        self.schedule.next_round_at.set(now + ANTI_ENTROPY_INTERVAL_MS);
+        if let Some(update) = self.next_quarantined() {
+            self.send_to_random(ANTI_ENTROPY_FANOUT, &Datagram::Quarantine(update));
         }
     }
 
-    /// What is held back, of as many requests as one packet takes, others each time.
-    pub(crate) fn held(&self) -> Option<News> {
+    /// The next quarantined requests, as many as fit into one packet; successive calls cycle
+    /// through all of them.
+    pub(crate) fn next_quarantined(&self) -> Option<News> {
         let core = self.shared.core.borrow();
         if core.quarantine.is_empty() {
             return None;
         }
-        let from = self.rounds.from.get();
-        let holds = core.quarantine.holds_from(self.shared.now(), from);
-        self.rounds.from.set(from.wrapping_add(holds.len()));
+        let start = self.schedule.next.get();
+        let holds = core.quarantine.holds_from(self.shared.now(), start);
+        self.schedule.next.set(start.wrapping_add(holds.len()));
         (!holds.is_empty()).then(|| News { ends: Vec::new(), holds })
     }
 
-    fn send_to_some(&self, count: usize, datagram: &Datagram) {
-        let others = self.others.borrow();
+    fn send_to_random(&self, count: usize, datagram: &Datagram) {
+        let others = self.all_peers.borrow();
         for to in others.choose_multiple(&mut rand::rng(), count) {
             self.shared.packets.send(*to, datagram);
         }
--- a/crates/tgw-gateway/src/ready.rs
+++ b/crates/tgw-gateway/src/readiness.rs
@@ -7,15 +7,15 @@
 use std::{convert::Infallible, rc::Rc, time::Duration};
 use tokio::net::TcpListener;
 
-/// Time in ms for the head of a question.
+/// Timeout for reading the head of a request.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(5_000);
-const PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Answers the balancer's questions for as long as the process runs.
+/// Serves readiness, metrics and the quarantine for as long as the process runs.
 pub(crate) async fn serve(shared: Rc<Shared>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let shared = shared.clone();
@@ -29,49 +29,48 @@
                 .header_read_timeout(HEAD_TIMEOUT)
                 .serve_connection(TokioIo::new(stream), service);
             if let Err(error) = serving.await {
-                tracing::debug!(%error, "connection to the balancer ended");
+                tracing::debug!(%error, "connection to the readiness address failed");
             }
         });
     }
 }
 
-/// Where metrics are read.
-const METRICS: &str = "/metrics";
+const METRICS_PATH: &str = "/metrics";
 
-fn metrics(shared: &Shared) -> Response<Full<Bytes>> {
-    shared.measure();
-    let text = shared.meters.text().unwrap_or_else(|error| {
-        tracing::warn!(%error, "metrics cannot be written");
+fn render_metrics(shared: &Shared) -> Response<Full<Bytes>> {
+    shared.update_gauges();
+    let text = shared.metrics.render().unwrap_or_else(|error| {
+        tracing::warn!(%error, "cannot encode metrics");
         String::new()
     });
     Response::new(Full::new(text.into()))
 }
 
-/// What is held back, as JSON.
-fn held(shared: &Shared) -> Response<Full<Bytes>> {
+/// The quarantined requests as JSON.
+fn list_quarantined(shared: &Shared) -> Response<Full<Bytes>> {
     let text = serde_json::to_string(&quarantine::list(shared)).unwrap_or_else(|error| {
-        tracing::warn!(%error, "what is held back cannot be written");
+        tracing::warn!(%error, "cannot encode quarantined requests");
         String::new()
     });
     Response::new(Full::new(text.into()))
 }
 
-/// Lets the request go that a path names.
+/// Releases the quarantined request named in a path.
 fn release(shared: &Shared, name: &str) -> StatusCode {
     match name.parse() {
         Err(_) => StatusCode::BAD_REQUEST,
-        Ok(print) if quarantine::release(shared, print) => StatusCode::NO_CONTENT,
+        Ok(fingerprint) if quarantine::release(shared, fingerprint) => StatusCode::NO_CONTENT,
         Ok(_) => StatusCode::NOT_FOUND,
     }
 }
 
 fn answer(shared: &Shared, request: &Request<Incoming>) -> Response<Full<Bytes>> {
     let path = request.uri().path();
-    if path == METRICS {
-        return metrics(shared);
+    if path == METRICS_PATH {
+        return render_metrics(shared);
     }
     if path == quarantine::PATH {
-        return held(shared);
+        return list_quarantined(shared);
     }
     let named = path.strip_prefix(quarantine::PATH).and_then(|rest| rest.strip_prefix('/'));
     if let Some(name) = named.filter(|_| *request.method() == Method::DELETE) {
@@ -79,7 +78,7 @@
         *response.status_mut() = release(shared, name);
         return response;
     }
-    let status = if path != shared.dialect.ready_path() {
+    let status = if path != shared.codec.ready_path() {
         StatusCode::NOT_FOUND
     } else if shared.ready() {
         StatusCode::OK
--- a/crates/tgw-gateway/src/heads.rs
+++ b/crates/tgw-gateway/src/request_heads.rs
@@ -14,97 +14,97 @@
     sync::Notify,
 };
 
-/// The head that a caller is sending.
+/// Progress of the request head that a caller is sending.
 ///
-/// The HTTP library has one time-out for a kept connection that rests and for a head that does not end.
-/// Operators set them apart: a caller may rest for long, but one that sends a byte of a head each few
-/// seconds holds a connection and its buffer for nothing.
+/// Hyper has a single timeout for idle kept-alive connections and for incomplete heads. Operators
+/// set the two apart: a caller may stay idle for long, but one that sends one byte of a head every
+/// few seconds occupies a connection and its buffer for nothing.
 #[derive(Debug, Default)]
 pub(crate) struct Head {
     state: Cell<State>,
-    /// Its connection is to be closed.
+    /// Notified when the connection is to be closed.
     pub(crate) overdue: Notify,
 }
 
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq)]
 enum State {
-    /// Nothing came since the last answer.
+    /// Nothing was received since the last answer.
     #[default]
-    Resting,
-    /// A head has been coming since then.
-    Coming(Millis),
-    /// The head is complete; what comes is the request's body.
+    Idle,
+    /// A head is being received, since the given time.
+    Receiving(Millis),
+    /// The head is complete; what follows is the request's body.
     Answering,
 }
 
 impl Head {
-    /// The head is complete.
-    pub(crate) fn complete(&self) {
+    /// Records that the head is complete.
+    pub(crate) fn mark_complete(&self) {
         self.state.set(State::Answering);
     }
 
-    /// The request was answered.
-    pub(crate) fn answered(&self) {
-        self.state.set(State::Resting);
+    /// Records that the request was answered.
+    pub(crate) fn mark_answered(&self) {
+        self.state.set(State::Idle);
     }
 
-    fn came(&self, now: impl FnOnce() -> Millis) {
-        if self.state.get() == State::Resting {
-            self.state.set(State::Coming(now()));
+    fn bytes_received(&self, now: impl FnOnce() -> Millis) {
+        if self.state.get() == State::Idle {
+            self.state.set(State::Receiving(now()));
         }
     }
 
-    fn late(&self, now: Millis, limit: Millis) -> bool {
-        matches!(self.state.get(), State::Coming(since) if now - since > limit)
+    fn is_overdue(&self, now: Millis, limit: Millis) -> bool {
+        matches!(self.state.get(), State::Receiving(since) if now - since > limit)
     }
 }
 
-/// The heads of all callers' connections.
+/// The request heads of all callers' connections.
 #[derive(Debug, Default)]
-pub(crate) struct Heads {
+pub(crate) struct RequestHeads {
     next: Cell<u64>,
     open: RefCell<HashMap<u64, Rc<Head>>>,
 }
 
-/// One connection's place among [`Heads`].
-pub(crate) struct Watched<'a> {
-    heads: &'a Heads,
+/// Registration of one connection in [`RequestHeads`].
+pub(crate) struct Registration<'a> {
+    heads: &'a RequestHeads,
     number: u64,
     pub(crate) head: Rc<Head>,
 }
 
-impl Heads {
-    /// Watches one more connection until the result is dropped.
-    pub(crate) fn watch(&self) -> Watched<'_> {
+impl RequestHeads {
+    /// Registers a connection until the result is dropped.
+    pub(crate) fn register(&self) -> Registration<'_> {
         let number = self.next.get();
         self.next.set(number + 1);
         let head = Rc::new(Head::default());
         self.open.borrow_mut().insert(number, head.clone());
-        Watched { heads: self, number, head }
+        Registration { heads: self, number, head }
     }
 
-    /// Ends the connections whose head has taken longer than `limit`; returns how many.
+    /// Closes the connections whose head has taken longer than `limit` and returns their number.
     pub(crate) fn sweep(&self, now: Millis, limit: Millis) -> usize {
         let open = self.open.borrow();
-        let late = open.values().filter(|head| head.late(now, limit));
-        late.inspect(|head| head.overdue.notify_one()).count()
+        let overdue = open.values().filter(|head| head.is_overdue(now, limit));
+        overdue.inspect(|head| head.overdue.notify_one()).count()
     }
 }
 
-impl Drop for Watched<'_> {
+impl Drop for Registration<'_> {
     fn drop(&mut self) {
         self.heads.open.borrow_mut().remove(&self.number);
     }
 }
 
-/// A caller's connection that notes when a head begins.
-pub(crate) struct Timed {
+/// A caller's connection that records when a request head begins.
+pub(crate) struct TimedStream {
     pub(crate) stream: TcpStream,
     pub(crate) head: Rc<Head>,
     pub(crate) shared: Rc<Shared>,
 }
 
-impl AsyncRead for Timed {
+impl AsyncRead for TimedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -113,13 +113,13 @@
         let filled = buffer.filled().len();
         let result = Pin::new(&mut self.stream).poll_read(context, buffer);
         if buffer.filled().len() > filled {
-            self.head.came(|| self.shared.now());
+            self.head.bytes_received(|| self.shared.now());
         }
         result
     }
 }
 
-impl AsyncWrite for Timed {
+impl AsyncWrite for TimedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/crates/tgw-gateway/src/serve.rs
+++ b/crates/tgw-gateway/src/serve.rs
@@ -1,12 +1,11 @@
-//! Starting and stopping.
+//! Start and shutdown of the gateway.
 
 use crate::{
-    Dialect, Settings, callers,
+    Dialect, Settings, callers, discovery,
     log::Dropped,
-    meeting,
     packets::Packets,
     peers::Peers,
-    ready,
+    readiness,
     shared::{Phase, Shared},
     stale, watch,
 };
@@ -22,29 +21,29 @@
     time::{sleep, timeout},
 };
 
-/// Time in ms after SIGTERM for which callers are still accepted: the balancer asks once a second
-/// and takes a VM out after two misses.
-const NOTICE: Millis = Millis::new(2_500);
-/// Time in ms that is left before the process is killed when it gives up what still runs.
-const RESERVE: Millis = Millis::new(500);
-/// Time in ms between looks for idle connections and lapsed entries.
-const SWEEP: Duration = Duration::from_millis(1_000);
+/// Time after SIGTERM during which callers are still accepted: the balancer checks once a second
+/// and removes a VM after two failed checks.
+const DRAIN_NOTICE_MS: Millis = Millis::new(2_500);
+/// Time left before the process is killed when requests still running are abandoned.
+const SHUTDOWN_RESERVE_MS: Millis = Millis::new(500);
+/// Interval between sweeps of idle connections and expired entries.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// What a process serves with.
+/// What a gateway is started with.
 pub struct Options {
-    /// What it was told.
+    /// Settings of the process.
     pub settings: Settings,
-    /// What the platform calls things.
+    /// Translates the platform's names.
     pub dialect: Box<dyn Dialect>,
     /// The platform's store.
     pub store: Rc<dyn Store>,
-    /// Counts log lines that were dropped.
+    /// Counts dropped log lines.
     pub dropped: Option<Dropped>,
-    /// What it decides by.
+    /// Parameters of the decision core.
     pub policy: Policy,
 }
 
-/// A running process.
+/// A running gateway.
 pub struct Handle {
     shared: Rc<Shared>,
     peers: Rc<Peers>,
@@ -53,28 +52,28 @@
     addresses: Addresses,
 }
 
-/// Where a process listens.
+/// The addresses on which a gateway listens.
 #[derive(Copy, Clone, Debug)]
 pub struct Addresses {
     /// For callers.
     pub callers: SocketAddr,
-    /// For the balancer and for metrics.
+    /// For the balancer's checks and for metrics.
     pub ready: SocketAddr,
-    /// For peers.
+    /// For other VMs.
     pub peers: SocketAddr,
 }
 
-/// Binds the sockets and starts serving on the current thread. Must run within a local task set.
-/// Errors: an address is in use or not this machine's.
+/// Binds the sockets and starts serving on the current thread. Must run within a `LocalSet`.
+/// Errors: an address is in use or does not belong to this machine.
 pub async fn spawn(options: Options) -> anyhow::Result<Handle> {
-    let Options { settings, dialect, store, dropped, policy } = options;
+    let Options { settings, dialect: codec, store, dropped, policy } = options;
     let callers = bind(settings.callers, "callers").await?;
     let readiness = bind(settings.ready, "readiness").await?;
     let (callers_addr, ready) = (callers.local_addr()?, readiness.local_addr()?);
     let peers = bind(settings.peer.listen, "peers").await?;
     let keys = Keys::new(settings.peer.key, None);
     let packets = Packets::bind(peers.local_addr()?, keys).await?;
-    let shared = Shared::new(settings, dialect, packets, dropped, policy)?;
+    let shared = Shared::new(settings, codec, packets, dropped, policy)?;
     tracing::info!(vm = shared.settings.vm, callers = %shared.settings.callers,
         seeds = ?shared.settings.peer.seeds, "start");
     tokio::task::spawn_local(watch::configuration(shared.clone(), store.clone()));
@@ -84,8 +83,8 @@
     tokio::task::spawn_local(stale::run(shared.clone(), store.clone()));
     let peers = Peers::spawn(shared.clone(), peers)?;
     let addresses = Addresses { callers: callers_addr, ready, peers: peers.addr() };
-    tokio::task::spawn_local(meeting::run(shared.clone(), store, peers.clone()));
-    tokio::task::spawn_local(ready::serve(shared.clone(), readiness));
+    tokio::task::spawn_local(discovery::run(shared.clone(), store, peers.clone()));
+    tokio::task::spawn_local(readiness::serve(shared.clone(), readiness));
     tokio::task::spawn_local(sweep(shared.clone()));
     let callers = tokio::task::spawn_local(callers::serve(shared.clone(), callers));
     let grace = shared.settings.grace;
@@ -98,13 +97,17 @@
 
 async fn sweep(shared: Rc<Shared>) {
     loop {
-        sleep(SWEEP).await;
+        sleep(SWEEP_INTERVAL).await;
         let now = shared.now();
         shared.hops.sweep(now);
         let limit = shared.config.borrow().limits.head_timeout;
-        let slow = shared.heads.sweep(now, limit);
+        let slow = shared.request_heads.sweep(now, limit);
         if slow > 0 {
-            tracing::info!(callers = slow, limit_ms = limit.whole(), "heads took too long");
+            tracing::info!(
+                callers = slow,
+                limit_ms = limit.whole(),
+                "closed connections whose request head took too long"
+            );
         }
         shared.core.borrow_mut().quarantine.sweep(now);
         let core = shared.core.borrow();
@@ -113,36 +116,38 @@
 }
 
 impl Handle {
-    /// Where it listens.
+    /// The addresses on which the gateway listens.
     pub fn addresses(&self) -> Addresses {
         self.addresses
     }
 
-    /// Whether the balancer may send callers.
+    /// Whether the balancer may send callers here.
     pub fn ready(&self) -> bool {
         self.shared.ready()
     }
 
-    /// Takes over settings that may change while the process runs: seeds, budgets and grace.
+    /// Applies the settings that may change while the process runs: seeds, budgets and the grace
+    /// period.
     pub fn reload(&mut self, settings: &Settings) {
         tracing::info!(seeds = ?settings.peer.seeds, grace_ms = settings.grace.whole(), "reload");
-        self.peers.seeds(settings.peer.seeds.clone());
+        self.peers.add_seeds(settings.peer.seeds.clone());
         self.shared.core.borrow_mut().set_budget(settings.budget);
         self.shared.core.borrow_mut().set_excess(settings.excess);
         self.grace = settings.grace;
     }
 
-    /// Leaves: stops being ready, accepts until the balancer has noticed, finishes what runs.
-    /// Returns the number of requests that were still running when the time was over.
+    /// Drains the gateway: reports not ready, keeps accepting until the balancer has noticed, then
+    /// lets running requests finish. Returns the number of requests still running when the grace
+    /// period ended.
     pub async fn drain(self) -> u32 {
         let Self { shared, peers, callers, grace, .. } = self;
         tracing::info!(running = shared.running.get(), "leaving: not ready, still accepting");
-        shared.phase.send_replace(Phase::Leaving);
+        shared.phase.send_replace(Phase::Draining);
         peers.leave();
-        sleep(Duration::from(NOTICE)).await;
+        sleep(Duration::from(DRAIN_NOTICE_MS)).await;
         shared.phase.send_replace(Phase::Closing);
-        let rest = Duration::from(grace - NOTICE - RESERVE);
-        let finished = timeout(rest, callers).await.is_ok();
+        let remaining = Duration::from(grace - DRAIN_NOTICE_MS - SHUTDOWN_RESERVE_MS);
+        let finished = timeout(remaining, callers).await.is_ok();
         let running = shared.running.get();
         tracing::info!(running, finished, "stop");
         running
--- a/crates/tgw-gateway/src/settings.rs
+++ b/crates/tgw-gateway/src/settings.rs
@@ -4,46 +4,46 @@
 use tgw_spread::start::Waits;
 use tgw_topology::Place as Numbered;
 
-/// What one process is told at its start.
+/// Settings of one gateway process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// The VM's name, unique in the fleet.
     pub vm: String,
-    /// Where it is.
+    /// The VM's failure domain, and the region of each domain.
     pub place: Place,
-    /// Where callers connect.
+    /// Address on which callers connect.
     pub callers: SocketAddr,
-    /// Where the balancer asks for readiness, and metrics are read.
+    /// Address for the balancer's readiness checks and for metrics.
     pub ready: SocketAddr,
-    /// Extra sends that all VMs together may make.
+    /// Retry budget of all VMs together.
     pub budget: Budget,
-    /// What cold upstreams may get beyond what they state, from all VMs together.
+    /// Headroom for cold upstreams beyond what they declare, of all VMs together.
     pub excess: Excess,
-    /// Memory for bodies of requests and replies that are held, in bytes.
+    /// Memory budget for buffered bodies, in bytes.
     pub bodies: usize,
-    /// The whole fleet starts for the first time.
+    /// The whole fleet is starting for the first time.
     pub first: bool,
-    /// How other VMs are reached.
+    /// How this VM and its peers reach each other.
     pub peer: Peer,
-    /// Time between two heartbeats of an upstream, if that is known.
+    /// Interval between two heartbeats of an upstream, if known.
     pub heartbeat: Option<Millis>,
     /// Time from SIGTERM until the process is killed.
     pub grace: Millis,
 }
 
-/// How other VMs are reached, and this one by them.
+/// How this VM and its peers reach each other.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Peer {
-    /// Where this VM listens for its peers, UDP and TCP.
+    /// Address on which this VM listens for its peers, on UDP and TCP.
     pub listen: SocketAddr,
-    /// Whom to ask first.
+    /// Addresses of the VMs to contact first.
     pub seeds: Vec<SocketAddr>,
-    /// Others are told to ask this VM first.
+    /// This VM is a seed of other VMs.
     pub seed: bool,
-    /// How long this VM waits at its start for others to tell it the state.
+    /// How long this VM waits at its start for other VMs to send it the state.
     pub waits: Waits,
     /// This VM's place, by numbers that are the same on all VMs.
     pub place: Numbered,
-    /// The key that frames are signed with.
+    /// The key that signs frames.
     pub key: [u8; 32],
 }
--- a/crates/tgw-gateway/src/shared.rs
+++ b/crates/tgw-gateway/src/shared.rs
@@ -1,6 +1,6 @@
 use crate::{
-    Dialect, Settings, governor::Governor, headers, heads::Heads, hop::Hops, log::Dropped,
-    loss::Breaks, meters::Meters, packets::Packets, pool::Pools, room::Room,
+    Dialect, Settings, broken::Sends, headers, hop::Hops, log::Dropped, log_limiter::Limiter,
+    memory::Budget, metrics::Metrics, packets::Packets, pool::Pools, request_heads::RequestHeads,
 };
 use http::{HeaderMap, Uri};
 use std::{
@@ -20,107 +20,109 @@
 };
 use tokio::sync::{Notify, watch};
 
-/// How far the process is in leaving.
+/// Phase of the process from start to shutdown.
 #[derive(Copy, Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Phase {
-    /// Serving.
+    /// Normal operation.
     Serving,
-    /// Told to stop: not ready, still accepting while the balancer notices.
-    Leaving,
-    /// Accepting nothing; what runs is finished.
+    /// Shutdown was requested: not ready, but still accepting until the balancer has noticed.
+    Draining,
+    /// No longer accepting; running requests are finished.
     Closing,
 }
 
-/// What this VM reads from the store, without having been refused.
+/// What this VM reads from the store without errors.
 #[derive(Debug, Default)]
-pub(crate) struct Reading {
+pub(crate) struct StoreReads {
     pub(crate) config: Cell<bool>,
     pub(crate) upstreams: Cell<bool>,
 }
 
-impl Reading {
-    /// Whether it reads anything.
+impl StoreReads {
+    /// Whether this VM reads anything from the store.
     pub(crate) fn any(&self) -> bool {
         self.config.get() || self.upstreams.get()
     }
 
-    /// Whether it reads all that a VM needs.
-    pub(crate) fn both(&self) -> bool {
+    /// Whether this VM reads both the configuration and the upstreams.
+    pub(crate) fn all(&self) -> bool {
         self.config.get() && self.upstreams.get()
     }
 }
 
 /// The configuration in force.
 #[derive(Debug, Default)]
-pub(crate) struct Configured {
-    /// Its version; `None` before the first is known.
+pub(crate) struct ActiveConfig {
+    /// Version of the configuration; `None` until one is known.
     pub(crate) version: Option<u64>,
     pub(crate) table: Table,
     pub(crate) limits: Limits,
-    /// When it was taken over.
+    /// Time at which the configuration came into force.
     pub(crate) since: Millis,
 }
 
-impl Configured {
-    /// The route of a request.
+impl ActiveConfig {
+    /// The route that matches a request.
     pub(crate) fn route(&self, uri: &Uri, headers: &HeaderMap) -> Option<&Rc<Route>> {
         self.table.find(headers::host(uri, headers)?, uri.path())
     }
 }
 
-/// What the tasks of the serving thread share. Borrows never span an await.
+/// State shared by the tasks of the serving thread. Borrows must not be held across an await.
 pub(crate) struct Shared {
     pub(crate) settings: Settings,
-    pub(crate) dialect: Box<dyn Dialect>,
+    pub(crate) codec: Box<dyn Dialect>,
     pub(crate) clock: Monotonic,
     pub(crate) core: RefCell<Core>,
     pub(crate) pools: Pools,
     pub(crate) packets: Packets,
     pub(crate) hops: Hops,
-    pub(crate) heads: Heads,
-    pub(crate) room: Room,
+    pub(crate) request_heads: RequestHeads,
+    pub(crate) memory: Budget,
     pub(crate) hasher: Hasher,
-    pub(crate) breaks: Breaks,
-    pub(crate) config: RefCell<Configured>,
-    /// What is told to other VMs.
+    pub(crate) broken_sends: Sends,
+    pub(crate) config: RefCell<ActiveConfig>,
+    /// State that is replicated between VMs.
     pub(crate) world: RefCell<World>,
     /// The list of upstreams is known.
-    pub(crate) listed: Cell<bool>,
-    /// Evacuations were read or told, or cannot be read now: until then what is sent may go where nothing may be sent.
-    pub(crate) evacuations_asked: Cell<bool>,
-    /// Upstreams are known from a copy of the store, which may be old, and from nothing better.
-    pub(crate) stale: Cell<bool>,
-    /// This VM watches the store for its failure domain; `None` until that is known.
+    pub(crate) upstreams_known: Cell<bool>,
+    /// Evacuations were read or received from a peer, or cannot be read at the moment. Before that,
+    /// a request could be sent to an evacuated failure domain.
+    pub(crate) evacuations_checked: Cell<bool>,
+    /// Upstreams are known only from a copy of the store, which may be out of date.
+    pub(crate) upstreams_stale: Cell<bool>,
+    /// Whether this VM is a relay, which watches the store for its failure domain; `None` until
+    /// decided.
     pub(crate) relay: watch::Sender<Option<bool>>,
-    /// Whether this VM reads the store at its start, and whom it asks before.
+    /// Decides whether this VM reads the store at its start, and which VMs it asks before.
     pub(crate) start: RefCell<Start>,
-    /// What this VM reads from the store now.
-    pub(crate) reading: Reading,
-    /// Whether the store answers this VM.
-    pub(crate) sight: RefCell<Sight>,
-    /// VMs of this domain that the store does not answer.
-    pub(crate) blind_near: Cell<usize>,
-    /// Upstreams that were found late, to be told to other VMs.
-    pub(crate) late: RefCell<Vec<Late>>,
-    /// Something is to be told to other VMs.
-    pub(crate) news: Notify,
+    /// What this VM currently reads from the store.
+    pub(crate) store_reads: StoreReads,
+    /// Whether this VM can reach the store.
+    pub(crate) reachability: RefCell<Sight>,
+    /// Number of VMs of this domain that cannot reach the store.
+    pub(crate) peers_without_store: Cell<usize>,
+    /// Reports on slow upstreams that are still to be sent to other VMs.
+    pub(crate) pending_reports: RefCell<Vec<Late>>,
+    /// Notified when there is an update for other VMs.
+    pub(crate) update_ready: Notify,
     pub(crate) phase: watch::Sender<Phase>,
-    pub(crate) governor: Governor,
+    pub(crate) log_limiter: Limiter,
     pub(crate) dropped: Option<Dropped>,
-    pub(crate) meters: Meters,
+    pub(crate) metrics: Metrics,
     pub(crate) running: Cell<u32>,
-    requests: Cell<u32>,
+    last_request: Cell<u32>,
 }
 
 impl Shared {
     pub(crate) fn new(
         settings: Settings,
-        dialect: Box<dyn Dialect>,
+        codec: Box<dyn Dialect>,
         packets: Packets,
         dropped: Option<Dropped>,
         policy: Policy,
     ) -> anyhow::Result<Rc<Self>> {
-        let room = Room::new(settings.bodies);
+        let memory = Budget::new(settings.bodies);
         let hasher = Hasher::new(&settings.peer.key);
         let clock = Monotonic::default();
         let start = Start::new(
@@ -139,33 +141,33 @@
         Ok(Rc::new(Self {
             core: RefCell::new(core),
             settings,
-            dialect,
+            codec,
             clock,
             pools: Pools::default(),
             packets,
             hops: Hops::default(),
-            heads: Heads::default(),
-            room,
+            request_heads: RequestHeads::default(),
+            memory,
             hasher,
-            breaks: Breaks::default(),
+            broken_sends: Sends::default(),
             config: RefCell::default(),
             world: RefCell::new(world),
-            listed: Cell::new(false),
-            evacuations_asked: Cell::new(false),
-            stale: Cell::new(false),
+            upstreams_known: Cell::new(false),
+            evacuations_checked: Cell::new(false),
+            upstreams_stale: Cell::new(false),
             relay: watch::Sender::new(None),
             start: RefCell::new(start),
-            reading: Reading::default(),
-            sight: RefCell::default(),
-            blind_near: Cell::new(0),
-            late: RefCell::default(),
-            news: Notify::new(),
+            store_reads: StoreReads::default(),
+            reachability: RefCell::default(),
+            peers_without_store: Cell::new(0),
+            pending_reports: RefCell::default(),
+            update_ready: Notify::new(),
             phase: watch::Sender::new(Phase::Serving),
-            governor: Governor::default(),
+            log_limiter: Limiter::default(),
             dropped,
             running: Cell::new(0),
-            requests: Cell::new(rand::random()),
-            meters: Meters::open()?,
+            last_request: Cell::new(rand::random()),
+            metrics: Metrics::new()?,
         }))
     }
 
@@ -177,82 +179,86 @@
         *self.phase.borrow()
     }
 
-    /// Whether the balancer may send new callers.
+    /// Whether the balancer may send new callers here.
     pub(crate) fn ready(&self) -> bool {
         self.phase() == Phase::Serving
-            && self.listed.get()
-            && self.evacuations_asked.get()
+            && self.upstreams_known.get()
+            && self.evacuations_checked.get()
             && self.config.borrow().version.is_some()
     }
 
-    /// Tells what decides the start of this VM something that calls for no action.
-    pub(crate) fn tell_start(&self, event: Event<'_>) {
+    /// Passes an event that calls for no action to the start-up logic.
+    pub(crate) fn notify_start(&self, event: Event<'_>) {
         self.start.borrow_mut().on(self.now(), event, &mut Vec::new());
     }
 
-    /// Takes note of the versions that this VM holds now.
-    pub(crate) fn note_held(&self) {
+    /// Passes the versions held by this VM to the start-up logic.
+    pub(crate) fn record_versions(&self) {
         let world = self.world.borrow();
         let (config, upstreams) = (world.config(), world.upstreams.version());
         if upstreams > 0 {
-            self.listed.set(true);
+            self.upstreams_known.set(true);
         }
-        self.tell_start(Event::Holds { config, upstreams });
+        self.notify_start(Event::Holds { config, upstreams });
     }
 
-    /// Puts a configuration in force that the world has taken over.
-    pub(crate) fn adopt(&self, config: &Config, source: &str) {
-        let mut configured = self.config.borrow_mut();
+    /// Puts a configuration into force that was accepted into the replicated state.
+    pub(crate) fn apply_config(&self, config: &Config, source: &str) {
+        let mut active = self.config.borrow_mut();
         tracing::info!(
             config = config.version,
-            before = configured.version,
+            before = active.version,
             routes = config.routes.len(),
             services = config.services.len(),
             source,
             "configuration in force"
         );
         self.core.borrow_mut().configure(config);
-        *configured = Configured {
+        *active = ActiveConfig {
             version: Some(config.version),
             table: Table::new(config),
             limits: config.limits,
             since: self.now(),
         };
-        self.news.notify_one();
+        self.update_ready.notify_one();
     }
 
-    /// Sends nothing more to the upstreams of the failure domains that the world says are evacuated.
-    pub(crate) fn evacuate(&self, source: &str) {
+    /// Stops sending to upstreams in the failure domains that are evacuated according to the
+    /// replicated state.
+    pub(crate) fn apply_evacuations(&self, source: &str) {
         let world = self.world.borrow();
         let domains = world.evacuations.domains();
         let version = world.evacuations.version();
         tracing::info!(?domains, version, source, "evacuations in force");
         for unknown in domains.iter().filter(|d| self.settings.place.region(d).is_none()) {
-            tracing::warn!(domain = &**unknown, "an evacuated failure domain is not known here");
+            tracing::warn!(
+                domain = &**unknown,
+                "evacuated failure domain is not in the settings of this VM"
+            );
         }
         self.core.borrow_mut().fleet.set_evacuated(self.now(), domains.clone());
-        self.news.notify_one();
+        self.update_ready.notify_one();
     }
 
-    /// Tells other VMs of upstreams that are late or slow.
-    pub(crate) fn tell_late(&self, now: Millis, keys: &[Key]) {
+    /// Queues reports on late or slow upstreams for other VMs.
+    pub(crate) fn queue_reports(&self, now: Millis, keys: &[Key]) {
         let mut core = self.core.borrow_mut();
-        let mut late = self.late.borrow_mut();
+        let mut reports = self.pending_reports.borrow_mut();
         for key in keys {
             let Some((entry, Word { overdue, expected })) = core.fleet.tell(now, *key) else {
                 continue;
             };
             let (upstream, started) = (entry.id.clone(), entry.started);
-            late.push(Late { upstream, started, overdue, expected: expected as f32 });
+            reports.push(Late { upstream, started, overdue, expected: expected as f32 });
         }
-        if !late.is_empty() {
-            self.news.notify_one();
+        if !reports.is_empty() {
+            self.update_ready.notify_one();
         }
     }
 
-    /// Sets the metrics that are read, not counted.
-    pub(crate) fn measure(&self) {
-        let gauges = &self.meters.gauges;
+    /// Updates the gauges.
+    pub(crate) fn update_gauges(&self) {
+        let gauges = &self.metrics.gauges;
         let set = |gauge: &AtomicU64, value: u64| gauge.store(value, Ordering::Relaxed);
         let config = self.config.borrow();
         set(&gauges.config, config.version.unwrap_or_default());
@@ -261,21 +267,21 @@
         set(&gauges.upstreams, core.fleet.len() as u64);
         set(&gauges.vms, u64::from(core.vms().all));
         set(&gauges.running, u64::from(self.running.get()));
-        set(&gauges.idle, self.pools.len() as u64);
-        set(&gauges.lines_left_out, self.governor.left_out());
+        set(&gauges.idle_connections, self.pools.len() as u64);
+        set(&gauges.lines_left_out, self.log_limiter.left_out());
         set(&gauges.lines_dropped, self.dropped.as_ref().map_or(0, Dropped::count));
-        set(&gauges.room, self.room.free() as u64);
+        set(&gauges.free_memory_bytes, self.memory.free_bytes() as u64);
         set(&gauges.hosted, self.hops.hosted() as u64);
-        let (held, suspected) = core.quarantine.counts();
-        set(&gauges.held, held as u64);
+        let (quarantined, suspected) = core.quarantine.counts();
+        set(&gauges.quarantined, quarantined as u64);
         set(&gauges.suspected, suspected as u64);
         set(&gauges.ready, u64::from(self.ready()));
     }
 
     /// A number that differs from request to request.
-    pub(crate) fn number(&self) -> u32 {
-        let number = self.requests.get().wrapping_add(1);
-        self.requests.set(number);
+    pub(crate) fn next_number(&self) -> u32 {
+        let number = self.last_request.get().wrapping_add(1);
+        self.last_request.set(number);
         number
     }
 }
--- a/crates/tgw-gateway/src/note.rs
+++ b/crates/tgw-gateway/src/telemetry.rs
@@ -1,9 +1,10 @@
-//! Log lines and counts about requests: what was decided, by which inputs, how old they were.
+//! Log lines and counts about requests and sends: what was decided, on which inputs, and how old
+//! the inputs were.
 
 use crate::{
-    exchange::{Outgoing, Sent},
-    governor::Rank,
-    loss::Break,
+    broken::BrokenSend,
+    exchange::{ActiveSend, OutgoingRequest},
+    log_limiter::Category,
     shared::Shared,
 };
 use tgw_clock::Millis;
@@ -15,13 +16,19 @@
 };
 use tgw_route::Route;
 
-/// A send was ordered. First sends are counted; what the other ones were decided by is logged.
-pub(crate) fn send(shared: &Shared, now: Millis, request: &Outgoing, plan: &Plan, order: &Order) {
+/// Counts an ordered send. Logs it with the inputs of the decision, unless it is the first send.
+pub(crate) fn send_started(
+    shared: &Shared,
+    now: Millis,
+    request: &OutgoingRequest,
+    plan: &Plan,
+    order: &Order,
+) {
     let core = shared.core.borrow();
     let upstream = core.fleet.get(order.ticket.upstream);
     let distance = upstream.map_or(Distance::Far, |u| u.distance);
-    shared.meters.send(order.why, distance, order.hop);
-    if order.why == Why::First || !shared.governor.allows(now, Rank::Detail) {
+    shared.metrics.count_send(order.why, distance, order.hop);
+    if order.why == Why::First || !shared.log_limiter.allows(now, Category::Detail) {
         return;
     }
     tracing::info!(
@@ -38,15 +45,15 @@
     );
 }
 
-/// A send was wanted and not made.
-pub(crate) fn withheld(
+/// Logs a send that was wanted but withheld.
+pub(crate) fn send_withheld(
     shared: &Shared,
     now: Millis,
-    request: &Outgoing,
+    request: &OutgoingRequest,
     plan: &Plan,
     withheld: Withheld,
 ) {
-    if !shared.governor.allows(now, Rank::Detail) {
+    if !shared.log_limiter.allows(now, Category::Detail) {
         return;
     }
     tracing::info!(
@@ -61,50 +68,56 @@
     );
 }
 
-/// A send ended without a good reply.
-pub(crate) fn ended(shared: &Shared, request: &Outgoing, sent: &Sent, sign: Sign) {
+/// Logs a send that ended without a good reply.
+pub(crate) fn send_ended(
+    shared: &Shared,
+    request: &OutgoingRequest,
+    send: &ActiveSend,
+    outcome: Sign,
+) {
     let now = shared.now();
-    let quiet = matches!(sign, Sign::Reply | Sign::Dropped);
-    if quiet || !shared.governor.allows(now, Rank::Detail) {
+    let not_logged = matches!(outcome, Sign::Reply | Sign::Dropped);
+    if not_logged || !shared.log_limiter.allows(now, Category::Detail) {
         return;
     }
     let core = shared.core.borrow();
-    let upstream = core.fleet.get(sent.ticket.upstream);
+    let upstream = core.fleet.get(send.ticket.upstream);
     tracing::info!(
         request = identity(request),
-        upstream = &*sent.entry.id,
-        service = &*sent.entry.service,
-        addr = %sent.entry.addr,
+        upstream = &*send.entry.id,
+        service = &*send.entry.service,
+        addr = %send.entry.addr,
         known = upstream.is_some(),
-        result = sign.text(),
-        hop = %sent.hop,
+        result = outcome.text(),
+        hop = %send.hop,
         running = upstream.map_or(0, |u| u.running().saturating_sub(1)),
         expected_ms = upstream.map_or(0.0, |u| u.expected(now).round()),
-        took_ms = (now - sent.sent).whole(),
+        took_ms = (now - send.started_at).whole(),
         "send ended"
     );
 }
 
-/// An upstream ended under the sends that it broke.
-pub(crate) fn upstream_ended(shared: &Shared, entry: &Entry, breaks: &[Break]) {
-    shared.meters.upstream_ended(&entry.service);
-    if !shared.governor.allows(shared.now(), Rank::Loss) {
+/// Counts and logs an upstream that ended under the given sends.
+pub(crate) fn upstream_ended(shared: &Shared, entry: &Entry, sends: &[BrokenSend]) {
+    shared.metrics.count_upstream_end(&entry.service);
+    if !shared.log_limiter.allows(shared.now(), Category::Crash) {
         return;
     }
-    let list = |what: fn(&Break) -> String| breaks.iter().map(what).collect::<Vec<_>>().join(" ");
+    let list =
+        |what: fn(&BrokenSend) -> String| sends.iter().map(what).collect::<Vec<_>>().join(" ");
     tracing::info!(
         upstream = &*entry.id,
         service = &*entry.service,
         addr = %entry.addr,
         requests = list(|b| b.request.to_str().unwrap_or_default().to_owned()),
-        prints = list(|b| b.print.to_string()),
-        took_ms = breaks.first().map(|b| b.took.whole()),
+        prints = list(|b| b.fingerprint.to_string()),
+        took_ms = sends.first().map(|b| b.took.whole()),
         "upstream ended under a send"
     );
 }
 
-/// What became of upstreams whose entries are missing.
-pub(crate) fn doubts(shared: &Shared) {
+/// Logs the changes among upstreams that are suspected because their entries are missing.
+pub(crate) fn suspicion_changes(shared: &Shared) {
     let changes = shared.world.borrow_mut().upstreams.take_changes();
     let now = shared.now();
     for Change { id, what, doubt } in changes {
@@ -127,15 +140,15 @@
     }
 }
 
-/// A send begins to an upstream whose entry is missing.
-pub(crate) fn doubtful(shared: &Shared, sent: &Sent) {
-    let Some(doubt) = shared.world.borrow().upstreams.doubted(&sent.entry.id) else { return };
+/// Logs a send to an upstream that is suspected because its entry is missing.
+pub(crate) fn send_to_suspected(shared: &Shared, send: &ActiveSend) {
+    let Some(doubt) = shared.world.borrow().upstreams.doubted(&send.entry.id) else { return };
     let now = shared.now();
-    if shared.governor.allows(now, Rank::Loss) {
+    if shared.log_limiter.allows(now, Category::Crash) {
         tracing::info!(
-            request = identity(&sent.request),
-            upstream = &*sent.entry.id,
-            service = &*sent.entry.service,
+            request = identity(&send.request),
+            upstream = &*send.entry.id,
+            service = &*send.entry.service,
             known_ms = (now - doubt.since).whole(),
             over_ms = (now - doubt.until).whole(),
             "send to a doubted upstream"
@@ -143,34 +156,34 @@
     }
 }
 
-/// A request was answered.
-pub(crate) fn answer(
+/// Counts and logs the answer to a request.
+pub(crate) fn request_answered(
     shared: &Shared,
-    request: &Outgoing,
+    request: &OutgoingRequest,
     route: &Route,
     version: u64,
     plan: &Plan,
     answer: &Answer,
 ) {
     let now = shared.now();
-    let (outcome, cause, plain) = match answer {
+    let (outcome, cause, complete) = match answer {
         Answer::Forward(reply) => ("forwarded", "", reply.good()),
         Answer::Merged { missing, .. } => ("merged", "", *missing == 0),
         Answer::Refused { cause, .. } => ("refused", cause.text(), false),
         Answer::Failed(cause) => ("failed", cause.text(), false),
         Answer::TimedOut => ("timed out", "", false),
     };
-    shared.meters.request(&route.name, outcome, cause, plan.age(now));
+    shared.metrics.count_request(&route.name, outcome, cause, plan.age(now));
     let late = plan.age(now) > route.aim;
-    let rank = if plain && !late { Rank::Ordinary } else { Rank::Outcome };
-    if !shared.governor.allows(now, rank) {
+    let category = if complete && !late { Category::Routine } else { Category::Outcome };
+    if !shared.log_limiter.allows(now, category) {
         return;
     }
     let (sends, got, parts) = plan.progress();
     let since = shared.config.borrow().since;
     tracing::info!(
         request = identity(request),
-        print = %request.print,
+        print = %request.fingerprint,
         route = &*route.name,
         safety = %route.safety,
         config = version,
@@ -186,8 +199,8 @@
     );
 }
 
-/// No route takes a request.
-pub(crate) fn unrouted(
+/// Counts and logs a request that matches no route.
+pub(crate) fn request_unrouted(
     shared: &Shared,
     now: Millis,
     request: Option<&str>,
@@ -195,8 +208,8 @@
     path: &str,
     version: u64,
 ) {
-    shared.meters.request("", "refused", "no route", Millis::ZERO);
-    if shared.governor.allows(now, Rank::Outcome) {
+    shared.metrics.count_request("", "refused", "no route", Millis::ZERO);
+    if shared.log_limiter.allows(now, Category::Outcome) {
         let since = shared.config.borrow().since;
         tracing::info!(
             request,
@@ -211,33 +224,44 @@
     }
 }
 
-/// A request could not be taken in.
-pub(crate) fn unread(shared: &Shared, now: Millis, request: Option<&str>, cause: &'static str) {
-    shared.meters.request("", "refused", cause, Millis::ZERO);
-    if shared.governor.allows(now, Rank::Outcome) {
-        tracing::info!(request, outcome = "refused", cause, free = shared.room.free(), "request");
+/// Counts and logs a request that could not be read.
+pub(crate) fn request_unread(
+    shared: &Shared,
+    now: Millis,
+    request: Option<&str>,
+    cause: &'static str,
+) {
+    shared.metrics.count_request("", "refused", cause, Millis::ZERO);
+    if shared.log_limiter.allows(now, Category::Outcome) {
+        tracing::info!(
+            request,
+            outcome = "refused",
+            cause,
+            free = shared.memory.free_bytes(),
+            "request"
+        );
     }
 }
 
-/// A request came before any configuration.
-pub(crate) fn unconfigured(shared: &Shared, now: Millis, request: Option<&str>) {
-    shared.meters.request("", "refused", "no configuration", Millis::ZERO);
-    if shared.governor.allows(now, Rank::Outcome) {
-        let blind = shared.sight.borrow().is_blind();
+/// Counts and logs a request that arrived before any configuration was known.
+pub(crate) fn request_unconfigured(shared: &Shared, now: Millis, request: Option<&str>) {
+    shared.metrics.count_request("", "refused", "no configuration", Millis::ZERO);
+    if shared.log_limiter.allows(now, Category::Outcome) {
+        let blind = shared.reachability.borrow().is_blind();
         tracing::info!(request, outcome = "refused", cause = "no configuration", blind, "request");
     }
 }
 
-/// A caller left before its answer; its sends are ended.
-pub(crate) fn abandoned(shared: &Shared, request: &Outgoing, sends: usize) {
+/// Counts and logs a request whose caller left before the answer, which cancels its sends.
+pub(crate) fn request_abandoned(shared: &Shared, request: &OutgoingRequest, sends: usize) {
     let now = shared.now();
-    shared.meters.request("", "abandoned", "caller left", Millis::ZERO);
-    if shared.governor.allows(now, Rank::Outcome) {
+    shared.metrics.count_request("", "abandoned", "caller left", Millis::ZERO);
+    if shared.log_limiter.allows(now, Category::Outcome) {
         let request = identity(request);
         tracing::info!(request, outcome = "abandoned", cause = "caller left", sends, "request");
     }
 }
 
-fn identity(request: &Outgoing) -> &str {
+fn identity(request: &OutgoingRequest) -> &str {
     request.identity.to_str().unwrap_or_default()
 }
--- a/crates/tgw-gateway/src/watch/configuration.rs
+++ b/crates/tgw-gateway/src/watch/configuration.rs
@@ -4,7 +4,7 @@
 use tgw_platform::{Object, Version};
 use tgw_spread::follow::Way;
 
-/// The operators' configuration.
+/// Watches the operators' configuration.
 pub(crate) struct Configuration {
     shared: Rc<Shared>,
     kind: String,
@@ -12,26 +12,27 @@
 
 impl Configuration {
     pub(crate) fn new(shared: &Rc<Shared>) -> Self {
-        Self { shared: shared.clone(), kind: shared.dialect.kinds().config.clone() }
+        Self { shared: shared.clone(), kind: shared.codec.kinds().config.clone() }
     }
 
-    pub(crate) fn take(&self, object: &Object) {
-        if object.name != self.shared.dialect.kinds().config_name || object.value.is_null() {
+    pub(crate) fn apply(&self, object: &Object) {
+        if object.name != self.shared.codec.kinds().config_name || object.value.is_null() {
             return;
         }
-        match self.shared.dialect.config(&object.value) {
+        match self.shared.codec.config(&object.value) {
             Ok(Decoded { value, findings }) => {
                 for finding in findings {
-                    tracing::warn!(%finding, revision = object.version, "configuration");
+                    tracing::warn!(%finding, revision = object.version,
+                        "part of the configuration cannot be decoded");
                 }
                 let newer = self.shared.world.borrow_mut().configure(&value);
                 if newer {
-                    self.shared.adopt(&value, "store");
+                    self.shared.apply_config(&value, "store");
                 }
             }
             Err(findings) => {
                 for finding in findings {
-                    tracing::error!(%finding, revision = object.version, "configuration not taken");
+                    tracing::error!(%finding, revision = object.version, "configuration rejected");
                 }
             }
         }
@@ -43,27 +44,27 @@
         &self.kind
     }
 
-    fn way(&self) -> Way {
+    fn read_mode(&self) -> Way {
         Way::Configuration
     }
 
-    fn listed(&mut self, _version: Version, objects: Vec<Object>) {
-        objects.iter().for_each(|o| self.take(o));
+    fn apply_list(&mut self, _version: Version, objects: Vec<Object>) {
+        objects.iter().for_each(|o| self.apply(o));
     }
 
-    fn changed(&mut self, _version: Version, object: Object) {
-        self.take(&object);
+    fn apply_change(&mut self, _version: Version, object: Object) {
+        self.apply(&object);
     }
 
-    fn lost(&mut self) {}
+    fn store_lost(&mut self) {}
 
-    fn answered(&mut self) {}
+    fn watch_answered(&mut self) {}
 
-    fn known(&self) -> bool {
+    fn is_known(&self) -> bool {
         self.shared.world.borrow().config() > 0
     }
 
-    fn reading(&self, reading: bool) {
-        self.shared.reading.config.set(reading);
+    fn set_reading(&self, reading: bool) {
+        self.shared.store_reads.config.set(reading);
     }
 }
--- a/crates/tgw-gateway/src/watch/evacuations.rs
+++ b/crates/tgw-gateway/src/watch/evacuations.rs
@@ -4,22 +4,22 @@
 use tgw_platform::{Object, Version};
 use tgw_spread::follow::{Pace, Way};
 
-/// The failure domains whose upstreams are to get nothing more.
+/// Watches the evacuated failure domains, whose upstreams receive no more requests.
 pub(crate) struct Evacuations {
     shared: Rc<Shared>,
     kind: String,
 }
 
-/// The failure domains that objects name. What an object holds besides its name does not matter: one that cannot be read
-/// evacuates its domain too.
-pub(crate) fn named(objects: &[Object]) -> BTreeSet<Rc<str>> {
+/// The failure domains named by the objects. Only the name of an object counts: a domain is
+/// evacuated even if the rest of its object cannot be decoded.
+pub(crate) fn evacuated_domains(objects: &[Object]) -> BTreeSet<Rc<str>> {
     let named = objects.iter().filter(|object| !object.name.is_empty() && !object.value.is_null());
     named.map(|object| object.name.as_str().into()).collect()
 }
 
 impl Evacuations {
     pub(super) fn new(shared: &Rc<Shared>) -> Self {
-        Self { shared: shared.clone(), kind: shared.dialect.kinds().evacuations.clone() }
+        Self { shared: shared.clone(), kind: shared.codec.kinds().evacuations.clone() }
     }
 }
 
@@ -28,7 +28,7 @@
         &self.kind
     }
 
-    fn way(&self) -> Way {
+    fn read_mode(&self) -> Way {
         Way::Evacuations
     }
 
@@ -36,38 +36,42 @@
         Pace::SELDOM
     }
 
-    fn listed(&mut self, version: Version, objects: Vec<Object>) {
-        let domains = named(&objects);
+    fn apply_list(&mut self, version: Version, objects: Vec<Object>) {
+        let domains = evacuated_domains(&objects);
         if self.shared.world.borrow_mut().evacuations.listed(version, domains) {
-            self.shared.evacuate("store");
+            self.shared.apply_evacuations("store");
         }
-        self.shared.evacuations_asked.set(true);
+        self.shared.evacuations_checked.set(true);
     }
 
-    fn changed(&mut self, version: Version, object: Object) {
+    fn apply_change(&mut self, version: Version, object: Object) {
         if object.name.is_empty() {
-            return tracing::warn!(revision = object.version, "an evacuation without a name");
+            return tracing::warn!(
+                revision = object.version,
+                "ignored an evacuation that names no failure domain"
+            );
         }
         let evacuated = !object.value.is_null();
         let domain = object.name.into();
         if self.shared.world.borrow_mut().evacuations.changed(version, &domain, evacuated) {
-            self.shared.evacuate("store");
+            self.shared.apply_evacuations("store");
         }
     }
 
-    fn lost(&mut self) {
-        self.shared.evacuations_asked.set(true);
+    fn store_lost(&mut self) {
+        self.shared.evacuations_checked.set(true);
     }
 
-    fn answered(&mut self) {}
+    fn watch_answered(&mut self) {}
 
-    /// Also where a peer told this VM the rest of the state: what that one does not know yet comes as news, and each
-    /// VM that starts would else read the list.
-    fn known(&self) -> bool {
+    /// Also true if a peer sent this VM the rest of the state: evacuations that the peer does not
+    /// know yet arrive as updates. Otherwise every starting VM would read the list from the store.
+    fn is_known(&self) -> bool {
         let world = self.shared.world.borrow();
-        let told = world.upstreams.version() > 0 && !self.shared.reading.upstreams.get();
-        world.evacuations.version() > 0 || told
+        let sent_by_peer =
+            world.upstreams.version() > 0 && !self.shared.store_reads.upstreams.get();
+        world.evacuations.version() > 0 || sent_by_peer
     }
 
-    fn reading(&self, _reading: bool) {}
+    fn set_reading(&self, _reading: bool) {}
 }
--- a/crates/tgw-gateway/src/watch/mod.rs
+++ b/crates/tgw-gateway/src/watch/mod.rs
@@ -1,10 +1,10 @@
-//! What this VM follows at the platform's store.
+//! Watches of the platform's store.
 
-/// The configuration.
+/// Watch of the configuration.
 mod configuration;
-/// Failure domains whose upstreams are to get nothing more.
+/// Watch of the evacuated failure domains.
 pub(crate) mod evacuations;
-/// The list of upstreams.
+/// Watch of the list of upstreams.
 mod upstreams;
 
 pub(crate) use configuration::Configuration;
@@ -25,70 +25,73 @@
 };
 use upstreams::Upstreams;
 
-/// What a watched kind does with its objects.
+/// A watched kind of objects, and how its objects are applied.
 trait Topic {
     fn kind(&self) -> &str;
-    /// The way of asking the store that it is.
-    fn way(&self) -> Way;
-    /// How it is watched.
+    /// How this kind is read from the store.
+    fn read_mode(&self) -> Way;
+    /// How often this kind is watched.
     fn pace(&self) -> Pace {
         Pace::OFTEN
     }
-    /// All objects as of a version.
-    fn listed(&mut self, version: Version, objects: Vec<Object>);
-    /// One object was written, or removed (a null value), by a version.
-    fn changed(&mut self, version: Version, object: Object);
+    /// Applies all objects as of a version.
+    fn apply_list(&mut self, version: Version, objects: Vec<Object>);
+    /// Applies an object that was written, or removed (null value), at a version.
+    fn apply_change(&mut self, version: Version, object: Object);
     /// The store does not answer.
-    fn lost(&mut self);
+    fn store_lost(&mut self);
     /// The store has answered a watch.
-    fn answered(&mut self);
-    /// Whether anything was read yet.
-    fn known(&self) -> bool;
-    /// Whether this VM reads it from the store, and was not refused.
-    fn reading(&self, reading: bool);
+    fn watch_answered(&mut self);
+    /// Whether anything is known of this kind.
+    fn is_known(&self) -> bool;
+    /// Records whether this VM reads this kind from the store without errors.
+    fn set_reading(&self, reading: bool);
 }
 
-/// Follows the configuration for as long as the process runs.
+/// Watches the configuration for as long as the process runs.
 pub(crate) async fn configuration(shared: Rc<Shared>, store: Rc<dyn Store>) {
     follow(&shared, &*store, &mut Configuration::new(&shared)).await;
 }
 
-/// Follows the list of upstreams for as long as the process runs.
+/// Watches the list of upstreams for as long as the process runs.
 pub(crate) async fn upstreams(shared: Rc<Shared>, store: Rc<dyn Store>) {
     follow(&shared, &*store, &mut Upstreams::new(&shared)).await;
 }
 
-/// Follows the list of evacuated failure domains for as long as the process runs.
+/// Watches the evacuated failure domains for as long as the process runs.
 pub(crate) async fn evacuations(shared: Rc<Shared>, store: Rc<dyn Store>) {
     follow(&shared, &*store, &mut Evacuations::new(&shared)).await;
 }
 
-/// Reads a kind when it is this VM's turn, and again and again while it is a relay; otherwise this VM learns
-/// from peers.
+/// Reads a kind from the store when it is this VM's turn, and watches it while this VM is a relay.
+/// Otherwise this VM receives the state from peers.
 async fn follow(shared: &Shared, store: &dyn Store, topic: &mut dyn Topic) {
     let mut relay = shared.relay.subscribe();
     let mut follow = Follow::new(rand::random(), topic.pace());
     loop {
         let turn = Turn {
             relay: *relay.borrow_and_update(),
-            known: topic.known(),
+            known: topic.is_known(),
             due: shared.start.borrow().due(),
         };
         match follow.next(shared.now(), turn) {
             Step::Idle(time) => tokio::select! {
-                // The sender lives as long as the process.
+                // Cannot fail: the sender lives as long as the process.
                 _ = relay.changed() => {}
                 () = sleep(time.into()) => {}
             },
             Step::Pause(time) => sleep(time.into()).await,
             Step::List => list(shared, store, topic, &mut follow).await,
             Step::Watch { from, wait } => {
-                let changes = changes(shared, store, topic, &mut follow, from, wait);
+                let watch = watch_once(shared, store, topic, &mut follow, from, wait);
                 tokio::select! {
-                    () = changes => {}
+                    () = watch => {}
                     () = wait_for(&mut relay, false) => {
-                        tracing::info!(kind = topic.kind(), "watch given up to other VMs");
-                        end(shared, topic, &mut follow);
+                        tracing::info!(
+                            kind = topic.kind(),
+                            "watch stopped, as this VM is no longer a relay"
+                        );
+                        end_watch(shared, topic, &mut follow);
                     }
                 }
             }
@@ -98,40 +101,41 @@
 
 async fn list(shared: &Shared, store: &dyn Store, topic: &mut dyn Topic, follow: &mut Follow) {
     if follow.failures() == 0 {
-        topic.reading(true);
+        topic.set_reading(true);
     }
     let listed = store.list(topic.kind()).await;
-    shared.meters.store("list", &listed);
+    shared.metrics.count_store_call("list", &listed);
     let now = shared.now();
     match listed {
         Ok(list) => {
             if follow.listed(list.version) > 0 {
                 tracing::info!(kind = topic.kind(), version = list.version, "store regained");
             }
-            let changed = shared.sight.borrow_mut().read(topic.way());
-            see(shared, changed);
-            topic.reading(true);
-            if shared.blind_near.get() >= LOST_NEAR {
-                topic.lost();
+            let changed = shared.reachability.borrow_mut().read(topic.read_mode());
+            report_reachability(shared, changed);
+            topic.set_reading(true);
+            if shared.peers_without_store.get() >= LOST_NEAR {
+                topic.store_lost();
             }
-            topic.listed(list.version, list.objects);
+            topic.apply_list(list.version, list.objects);
         }
         Err(error) => {
             if follow.failures() == 0 {
                 tracing::warn!(kind = topic.kind(), %error, "store lost");
             }
-            topic.reading(false);
-            topic.lost();
-            shared.tell_start(start::Event::Refused);
-            follow.failed(now, shared.blind_near.get());
-            let changed = shared.sight.borrow_mut().note(topic.way(), follow.is_blind());
-            see(shared, changed);
+            topic.set_reading(false);
+            topic.store_lost();
+            shared.notify_start(start::Event::Refused);
+            follow.failed(now, shared.peers_without_store.get());
+            let changed =
+                shared.reachability.borrow_mut().note(topic.read_mode(), follow.is_blind());
+            report_reachability(shared, changed);
         }
     }
 }
 
 /// Waits for changes once.
-async fn changes(
+async fn watch_once(
     shared: &Shared,
     store: &dyn Store,
     topic: &mut dyn Topic,
@@ -140,78 +144,78 @@
     wait: Millis,
 ) {
     let kind = topic.kind().to_owned();
-    let began = shared.now();
+    let started_at = shared.now();
     let watch = timeout((wait + MARGIN).into(), store.watch(&kind, from, wait)).await;
-    let late = || Error::Unknown { reason: format!("no reply in {}", wait + MARGIN) };
-    let result = watch.unwrap_or_else(|_| Err(late()));
-    shared.meters.store("watch", &result);
+    let timed_out = || Error::Unknown { reason: format!("no reply in {}", wait + MARGIN) };
+    let result = watch.unwrap_or_else(|_| Err(timed_out()));
+    shared.metrics.count_store_call("watch", &result);
     match result {
         Ok(List { version, objects }) => {
-            let news = !objects.is_empty();
-            topic.answered();
-            objects.into_iter().for_each(|o| topic.changed(version, o));
-            follow.watched(shared.now(), version, news);
-            if news {
-                shared.news.notify_one();
+            let has_changes = !objects.is_empty();
+            topic.watch_answered();
+            objects.into_iter().for_each(|o| topic.apply_change(version, o));
+            follow.watched(shared.now(), version, has_changes);
+            if has_changes {
+                shared.update_ready.notify_one();
             }
         }
         Err(error) => {
             tracing::info!(kind, %error, "watch ended");
-            // A watch that is cut says nothing of the store; one that ran out says that the store may have been away
-            // since it began.
-            if shared.now() - began >= wait {
-                topic.lost();
+            // A watch that is cut says nothing about the store. One that timed out means that the
+            // store may have been unavailable since the watch began.
+            if shared.now() - started_at >= wait {
+                topic.store_lost();
             }
-            end(shared, topic, follow);
+            end_watch(shared, topic, follow);
         }
     }
 }
 
-/// The kind is not watched any more.
-fn end(shared: &Shared, topic: &dyn Topic, follow: &mut Follow) {
-    topic.reading(false);
-    if !topic.known() {
-        shared.tell_start(start::Event::Empty);
+/// Records that the kind is no longer watched.
+fn end_watch(shared: &Shared, topic: &dyn Topic, follow: &mut Follow) {
+    topic.set_reading(false);
+    if !topic.is_known() {
+        shared.notify_start(start::Event::Empty);
     }
     follow.stop(shared.now());
 }
 
-/// Tells others whether the store answers this VM, if that has changed.
-fn see(shared: &Shared, changed: bool) {
+/// Reports a change in whether this VM can reach the store to other VMs.
+fn report_reachability(shared: &Shared, changed: bool) {
     if changed {
-        let blind = shared.sight.borrow().is_blind();
+        let blind = shared.reachability.borrow().is_blind();
         tracing::info!(blind, "whether the store answers this VM");
-        shared.news.notify_one();
+        shared.update_ready.notify_one();
     }
 }
 
-/// Probes the store for as long as the process runs, while this VM follows it.
+/// Probes the store for as long as the process runs, while this VM reads from it.
 pub(crate) async fn probe(shared: Rc<Shared>, store: Rc<dyn Store>) {
-    let kind = &shared.dialect.kinds().config;
+    let kind = &shared.codec.kinds().config;
     loop {
         sleep(PROBE_EVERY.into()).await;
-        if !shared.reading.any() {
+        if !shared.store_reads.any() {
             continue;
         }
         let probed = match timeout(PROBE_REPLY.into(), store.probe(kind)).await {
             Ok(result) => {
-                shared.meters.store("probe", &result);
+                shared.metrics.count_store_call("probe", &result);
                 if result.is_ok() { Probed::Answered } else { Probed::Refused }
             }
             Err(_) => Probed::Silent,
         };
         match probed {
-            // A watch that hangs is then no sign of a store that is away.
+            // The store is then available even if a watch hangs.
             Probed::Answered => shared.world.borrow_mut().upstreams.probed(shared.now()),
             Probed::Silent => shared.world.borrow_mut().upstreams.lost(shared.now()),
             Probed::Refused => {}
         }
-        let changed = shared.sight.borrow_mut().probed(probed);
-        see(&shared, changed);
+        let changed = shared.reachability.borrow_mut().probed(probed);
+        report_reachability(&shared, changed);
     }
 }
 
 async fn wait_for(relay: &mut watch::Receiver<Option<bool>>, state: bool) {
-    // The sender lives as long as the process.
+    // Cannot fail: the sender lives as long as the process.
     let _ = relay.wait_for(|r| *r == Some(state)).await;
 }
--- a/crates/tgw-gateway/src/watch/upstreams.rs
+++ b/crates/tgw-gateway/src/watch/upstreams.rs
@@ -1,11 +1,11 @@
 use super::Topic;
-use crate::{dialect::Finding, note, shared::Shared, unreadable::Unreadable};
+use crate::{dialect::Finding, shared::Shared, telemetry, unreadable::Unreadable};
 use std::rc::Rc;
 use tgw_forward::upstream::Entry;
 use tgw_platform::{Object, Version};
 use tgw_spread::follow::Way;
 
-/// The list of upstreams.
+/// Watches the list of upstreams.
 pub(super) struct Upstreams {
     shared: Rc<Shared>,
     kind: String,
@@ -14,30 +14,31 @@
 
 impl Upstreams {
     pub(super) fn new(shared: &Rc<Shared>) -> Self {
-        let kind = shared.dialect.kinds().upstreams.clone();
+        let kind = shared.codec.kinds().upstreams.clone();
         Self { shared: shared.clone(), kind, unreadable: Unreadable::default() }
     }
 
     fn decode(&mut self, object: &Object) -> Result<Entry, Rc<str>> {
-        let read = self.shared.dialect.upstream(&object.name, &object.value);
-        let result = read.and_then(|entry| self.dated(entry)).map_err(|findings| {
-            self.unreadable.found(&object.name, &findings, object.version);
+        let decoded = self.shared.codec.upstream(&object.name, &object.value);
+        let result = decoded.and_then(|entry| self.check_start(entry)).map_err(|findings| {
+            self.unreadable.log_once(&object.name, &findings, object.version);
             object.name.as_str().into()
         });
         if result.is_ok() {
-            self.unreadable.ended(&object.name);
+            self.unreadable.remove(&object.name);
         }
-        self.shared.meters.unreadable(self.unreadable.len());
+        self.shared.metrics.set_unreadable(self.unreadable.len());
         result
     }
 
-    /// The entry, unless it says no start though the upstream's own did: somebody else wrote it.
-    fn dated(&self, entry: Entry) -> Result<Entry, Vec<Finding>> {
+    /// Rejects an entry without a start time if the upstream's own entry had one: a process other
+    /// than the upstream wrote it.
+    fn check_start(&self, entry: Entry) -> Result<Entry, Vec<Finding>> {
         let core = self.shared.core.borrow();
         let known = core.fleet.key(&entry.id).and_then(|key| core.fleet.get(key));
         if entry.started == 0 && known.is_some_and(|u| u.entry.started > 0) {
             let place = format!("upstream {}", entry.id);
-            return Err(vec![Finding { place, what: "the start is missing".into() }]);
+            return Err(vec![Finding { place, what: "the start time is missing".into() }]);
         }
         Ok(entry)
     }
@@ -48,12 +49,12 @@
         &self.kind
     }
 
-    fn way(&self) -> Way {
+    fn read_mode(&self) -> Way {
         Way::Upstreams
     }
 
-    fn listed(&mut self, version: Version, objects: Vec<Object>) {
-        self.unreadable.keep(|name| objects.iter().any(|o| o.name == name));
+    fn apply_list(&mut self, version: Version, objects: Vec<Object>) {
+        self.unreadable.retain(|name| objects.iter().any(|o| o.name == name));
         let (mut entries, mut unreadable): (Vec<(Version, Entry)>, Vec<Rc<str>>) =
             Default::default();
         for object in &objects {
@@ -72,17 +73,17 @@
         let mut world = self.shared.world.borrow_mut();
         world.upstreams.listed(now, version, entries, &unreadable, &mut core.fleet);
         drop((core, world));
-        note::doubts(&self.shared);
-        self.shared.listed.set(true);
-        self.shared.stale.set(false);
-        self.shared.news.notify_one();
+        telemetry::suspicion_changes(&self.shared);
+        self.shared.upstreams_known.set(true);
+        self.shared.upstreams_stale.set(false);
+        self.shared.update_ready.notify_one();
     }
 
-    fn changed(&mut self, version: Version, object: Object) {
+    fn apply_change(&mut self, version: Version, object: Object) {
         let now = self.shared.now();
         let removed = object.value.is_null();
         if removed {
-            self.unreadable.ended(&object.name);
+            self.unreadable.remove(&object.name);
         }
         let entry = (!removed).then(|| self.decode(&object));
         let mut core = self.shared.core.borrow_mut();
@@ -106,22 +107,22 @@
             }
         }
         drop((core, world));
-        note::doubts(&self.shared);
+        telemetry::suspicion_changes(&self.shared);
     }
 
-    fn lost(&mut self) {
+    fn store_lost(&mut self) {
         self.shared.world.borrow_mut().upstreams.lost(self.shared.now());
     }
 
-    fn known(&self) -> bool {
+    fn is_known(&self) -> bool {
         self.shared.world.borrow().upstreams.version() > 0
     }
 
-    fn reading(&self, reading: bool) {
-        self.shared.reading.upstreams.set(reading);
+    fn set_reading(&self, reading: bool) {
+        self.shared.store_reads.upstreams.set(reading);
     }
 
-    fn answered(&mut self) {
+    fn watch_answered(&mut self) {
         self.shared.world.borrow_mut().upstreams.answered(self.shared.now());
     }
 }
--- a/crates/tgw-gateway/tests/gateway.rs
+++ b/crates/tgw-gateway/tests/gateway.rs
@@ -1,4 +1,4 @@
-//! Tests of what bounds a process: its log.
+//! Tests of the limits of a process: its log and its memory for bodies.
 
 #![allow(clippy::expect_used, clippy::unwrap_used, clippy::panic)] // A test fails by panic.
 
@@ -8,16 +8,16 @@
 };
 use tgw_clock::Millis;
 use tgw_gateway::{
-    log::{self, Governor, Log, RING, Rank},
-    room::Room,
+    log::{self, BUFFER_LINES, Category, Limiter, Log},
+    memory::Budget,
 };
 
-/// A pipe that nobody reads: the first write waits until the test lets go.
-struct Stuck(mpsc::Receiver<()>);
+/// A pipe without a reader: the first write blocks until the test drops the sender.
+struct BlockedPipe(mpsc::Receiver<()>);
 
-impl Write for Stuck {
+impl Write for BlockedPipe {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        // An error means that the test has let go.
+        // An error means that the test has dropped the sender.
         let _ = self.0.recv();
         Ok(bytes.len())
     }
@@ -27,49 +27,50 @@
     }
 }
 
-// The collector of logs hangs while upstreams fail by the thousand. Requests must go on: the thread that
-// decides returns from each line at once, and what the ring cannot take is dropped and counted.
+// Guards against logging that blocks requests. The log collector hangs while thousands of lines are
+// written; each call must return at once, and lines that do not fit into the buffer are dropped and
+// counted.
 #[test]
-fn a_flood_of_lines_into_a_stuck_pipe_holds_up_no_decision() {
+fn logging_into_a_blocked_pipe_drops_lines_instead_of_blocking() {
     const LINES: u64 = 20_000;
-    let (let_go, stuck) = mpsc::channel();
-    let Log { subscriber, dropped, guard } = log::open(Stuck(stuck), "info").unwrap();
+    let (unblock, blocked) = mpsc::channel();
+    let Log { subscriber, dropped, guard } = log::open(BlockedPipe(blocked), "info").unwrap();
     tracing::subscriber::with_default(subscriber, || {
         for request in 0..LINES {
             tracing::info!(request, "send ended");
         }
     });
-    // The writer holds one line and the ring the others.
+    // The writer holds one line, the buffer the others.
     let kept = LINES - dropped.count();
-    assert!(kept <= RING as u64 + 1, "{kept} kept");
-    assert!(kept >= RING as u64, "{kept} kept");
-    drop(let_go);
+    assert!(kept <= BUFFER_LINES as u64 + 1, "{kept} kept");
+    assert!(kept >= BUFFER_LINES as u64, "{kept} kept");
+    drop(unblock);
     drop(guard);
 }
 
-// Hedges flood the log while a shard is slow. The answer of each request that failed is still there: it
-// is the line that names the cause.
+// Guards against hedges displacing the lines that name the cause of a failure. While a shard is
+// slow, hedges flood the log; the answers of failed requests must still be logged.
 #[test]
-fn details_leave_room_for_outcomes() {
-    let governor = Governor::default();
+fn detail_lines_do_not_displace_outcome_lines() {
+    let limiter = Limiter::default();
     let now = Millis::new(5_500);
-    let details = (0..10_000).filter(|_| governor.allows(now, Rank::Detail)).count();
-    let ordinary = (0..10_000).filter(|_| governor.allows(now, Rank::Ordinary)).count();
-    assert!((0..250).all(|_| governor.allows(now, Rank::Outcome)));
-    assert!(details < 500 && ordinary < 10, "{details} and {ordinary} in a second");
-    assert_eq!(governor.left_out(), 10_000 - details as u64);
-    assert!(governor.allows(now + Millis::new(1_000), Rank::Detail));
+    let details = (0..10_000).filter(|_| limiter.allows(now, Category::Detail)).count();
+    let routine = (0..10_000).filter(|_| limiter.allows(now, Category::Routine)).count();
+    assert!((0..250).all(|_| limiter.allows(now, Category::Outcome)));
+    assert!(details < 500 && routine < 10, "{details} and {routine} in a second");
+    assert_eq!(limiter.left_out(), 10_000 - details as u64);
+    assert!(limiter.allows(now + Millis::new(1_000), Category::Detail));
 }
 
-// Callers send bodies until the memory that is set aside for them is taken. The next one is turned away
-// instead of the process being killed, and is taken as soon as another has gone.
+// Guards against the process being killed for lack of memory. Callers send bodies until the budget
+// is used up; the next reservation fails, and succeeds once another one is released.
 #[test]
-fn memory_for_bodies_is_bounded_and_given_back() {
-    let room = Room::new(1_000);
-    let mut first = room.take(600).unwrap();
-    assert!(room.take(600).is_none());
+fn memory_for_bodies_is_limited_and_released() {
+    let budget = Budget::new(1_000);
+    let mut first = budget.reserve(600).unwrap();
+    assert!(budget.reserve(600).is_none());
     first.shrink(100);
-    let second = room.take(600).unwrap();
+    let second = budget.reserve(600).unwrap();
     drop((first, second));
-    assert_eq!(room.free(), 1_000);
+    assert_eq!(budget.free_bytes(), 1_000);
 }
