--- a/crates/tgw-quarantine/src/ledger.rs
+++ b/crates/tgw-quarantine/src/ledger.rs
@@ -1,266 +1,293 @@
 use crate::{
     Fingerprint,
-    mark::{Mark, TRIALS},
-    message::{End, Hold, News, Seen},
+    evidence::{Evidence, MAX_TRIALS},
+    live_vms::LiveVms,
+    message::{End, News, QuarantineState, Seen},
     record::Record,
-    roster::Roster,
 };
 use smallvec::SmallVec;
 use std::collections::HashMap;
 use tgw_clock::Millis;
 use xxhash_rust::xxh3::xxh3_64;
 
-pub use crate::mark::LIMIT;
-
-/// Requests that are remembered, in all: 200 KB, however many different ones somebody sends.
-pub const RECORDS: usize = 1_024;
-/// Time in ms after which a request is forgotten that is not held back: above the time in which callers come again.
-const FORGET: Millis = Millis::new(600_000);
-/// The same for one that is held back.
-const FORGET_HELD: Millis = Millis::new(86_400_000);
-/// What is told at once, at most: of each kind, one packet.
-const TOLD: usize = 64;
-/// Callers of whom a request must have been held back to be held back for all: what one sends closes the way for
-/// nobody else, though it may do so in a header of its own; what two send does not depend on who they are.
-const PROOF: usize = 2;
-/// Words that wait to be told; older ones are dropped, as whoever sends so many different requests is known by the
-/// ones that are left.
-const WAITING: usize = 512;
+pub use crate::evidence::LIMIT;
+
+/// Most requests that are remembered: 200 KB, however many different ones a caller sends.
+pub const MAX_RECORDS: usize = 1_024;
+/// Time in ms for which a request that is not quarantined is remembered after its last use: above the time within which
+/// callers retry.
+const RETENTION_MS: Millis = Millis::new(600_000);
+/// Time in ms for which a quarantined request is remembered after its last use.
+const QUARANTINE_RETENTION_MS: Millis = Millis::new(86_400_000);
+/// Most entries of each kind in one update, so that it fits into one packet.
+const MAX_UPDATE_ENTRIES: usize = 64;
+/// Callers for whom a request must be quarantined before it is quarantined for all callers. What one caller's requests
+/// do never rejects another's, as it may be due to a header of that caller; what two callers' requests do does not
+/// depend on the caller.
+const CALLER_QUORUM: usize = 2;
+/// Most reports queued for other VMs. The oldest are dropped beyond that: a sender of so many different requests is
+/// known by the remaining ones.
+const MAX_QUEUED_REPORTS: usize = 512;
 
 /// What may be done with a request, or with its part at a service.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Nothing speaks against it.
+    /// There is no evidence against it.
     Free,
-    /// Upstreams ended under it, so many rounds so far: it may be sent to one upstream at a time.
+    /// Upstreams ended under it, in this many rounds so far: it may be sent to one upstream at a time.
     Careful(u8),
-    /// It is held back, and may come back after a while.
+    /// It is quarantined; the caller may retry after this time.
     Held(Millis),
 }
 
-/// What one word changed.
+/// What a report changed.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// It was known.
+    /// Nothing: the report was known.
     None,
-    /// It is one more upstream that ended.
+    /// One more upstream ended.
     Ended,
-    /// The request is held back from now on: everywhere, or at the service.
+    /// The request is quarantined from now on, everywhere or at the service.
     Held {
-        /// Everywhere.
+        /// Whether it is quarantined everywhere.
         all: bool,
     },
-    /// The request was let go.
+    /// The request was released.
     Released,
 }
 
-/// A request that is held back, for operators.
+/// A quarantined request, as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Held {
-    /// The request.
+pub struct QuarantinedRequest {
+    /// Fingerprint of the request.
     pub print: Fingerprint,
-    /// It is held back everywhere, not at some services only.
+    /// Whether it is quarantined everywhere, not at some services only.
     pub all: bool,
-    /// Upstreams that ended under it, as far as this VM remembers them.
+    /// Number of upstreams that ended under it, as far as this VM remembers them.
     pub ended: usize,
-    /// How often it was tried again.
+    /// Number of trials.
     pub trials: u8,
-    /// Time until it may be tried again.
+    /// Time until the next trial.
     pub wait: Millis,
-    /// Time since it was last asked for.
+    /// Time since the last request or report.
     pub idle: Millis,
 }
 
 type Callers = SmallVec<[(u32, Record); 1]>;
 
-/// What one VM knows of requests under which upstreams ended. Empty on most days, when a look costs next to nothing.
+/// One VM's evidence against requests under which upstreams ended. It is usually empty, and a lookup then costs next to
+/// nothing.
 #[derive(Debug, Default)]
 pub struct Ledger {
-    /// By content, then by caller: nobody is turned away for what one other caller sent, but what ended upstreams for
-    /// one is sent with care for the next.
+    /// Records by content, then by caller. A request is not rejected for what one other caller's requests did, but it
+    /// is limited if requests with the same content ended upstreams for that caller.
     contents: HashMap<u64, Callers>,
     records: usize,
-    roster: Roster,
-    news: News,
+    live_vms: LiveVms,
+    /// Reports queued for other VMs.
+    queued: News,
 }
 
-/// The hash by which VMs name a service or an upstream to one another.
+/// The hash that identifies a service or an upstream in messages between VMs.
 pub fn name(text: &str) -> u32 {
     xxh3_64(text.as_bytes()) as u32
 }
 
 impl Ledger {
-    /// Whether nothing is known of any request.
+    /// Whether there is no record of any request.
     pub fn is_empty(&self) -> bool {
         self.records == 0
     }
 
     /// Sets the live VMs: this one and the others, by numbers that are the same on all VMs.
     pub fn set_vms(&mut self, own: u64, others: Vec<u64>) {
-        self.roster = Roster { own, others };
+        self.live_vms = LiveVms { own, others };
     }
 
-    /// What may be done with a request as a whole. A request that is due to be tried again may be sent, with care, by
-    /// one VM, which counts that as a trial.
-    pub fn verdict(&mut self, now: Millis, print: Fingerprint) -> Verdict {
-        let Some(callers) = self.contents.get_mut(&print.content) else { return Verdict::Free };
+    /// Decides what may be done with a request as a whole. A request whose trial is due may be sent by one VM, to one
+    /// upstream at a time; that counts as a trial.
+    pub fn verdict(&mut self, now: Millis, fingerprint: Fingerprint) -> Verdict {
+        let Some(callers) = self.contents.get_mut(&fingerprint.content) else {
+            return Verdict::Free;
+        };
         for (caller, record) in callers.iter_mut() {
-            if *caller == print.caller {
-                record.touched = now;
+            if *caller == fingerprint.caller {
+                record.last_used = now;
             }
         }
-        let pending = callers.iter().filter_map(|(_, record)| record.all.pending(now)).max();
-        match (self.judge(now, print, None), pending) {
+        let decision_wait =
+            callers.iter().filter_map(|(_, record)| record.overall.decision_wait(now)).max();
+        match (self.decide(now, fingerprint, None), decision_wait) {
             (Verdict::Held(wait), _) => Verdict::Held(wait),
             (_, Some(wait)) => Verdict::Held(wait),
             (verdict, None) => verdict,
         }
     }
 
-    /// What may be done with a request's part at a service.
-    pub fn part(&mut self, now: Millis, print: Fingerprint, service: &str) -> Verdict {
-        if self.is_empty() { Verdict::Free } else { self.judge(now, print, Some(name(service))) }
+    /// Decides what may be done with a request's part at a service.
+    pub fn part(&mut self, now: Millis, fingerprint: Fingerprint, service: &str) -> Verdict {
+        if self.is_empty() {
+            Verdict::Free
+        } else {
+            self.decide(now, fingerprint, Some(name(service)))
+        }
     }
 
-    /// Whether a request is held back as a whole.
-    pub fn holds(&self, print: Fingerprint) -> bool {
-        !self.is_empty() && self.against(print, None).next().is_some()
+    /// Whether a request is quarantined as a whole.
+    pub fn holds(&self, fingerprint: Fingerprint) -> bool {
+        !self.is_empty() && self.applicable_quarantines(fingerprint, None).next().is_some()
     }
 
-    /// How often upstreams ended under a request, one time after the other.
-    pub fn rounds(&self, print: Fingerprint) -> u8 {
-        if self.is_empty() { 0 } else { self.rounds_at(print, None) }
+    /// Number of rounds in which upstreams ended under a request.
+    pub fn rounds(&self, fingerprint: Fingerprint) -> u8 {
+        if self.is_empty() { 0 } else { self.rounds_at(fingerprint, None) }
     }
 
-    /// How far a request's rounds have come, at a service and in all.
-    pub fn known(&self, print: Fingerprint, service: &str) -> Seen {
+    /// The known rounds of a request, at a service and in all.
+    pub fn known(&self, fingerprint: Fingerprint, service: &str) -> Seen {
         if self.is_empty() {
             return Seen::default();
         }
-        let service = self.rounds_at(print, Some(name(service)));
-        Seen { all: self.rounds_at(print, None), service }
+        let service = self.rounds_at(fingerprint, Some(name(service)));
+        Seen { all: self.rounds_at(fingerprint, None), service }
     }
 
-    /// An upstream ended under a request, as this VM saw or another one told.
+    /// Records an upstream that ended under a request, as this VM saw or another VM reported.
     pub fn ended(&mut self, now: Millis, end: &End) -> Change {
-        let record = self.enter(now, end.print);
-        if !record.note(end.upstream) {
+        let record = self.record_or_insert(now, end.print);
+        if !record.add_ended(end.upstream) {
             return Change::None;
         }
-        let all = record.all.ended(now, end.seen.all);
-        let part = record.mark_mut(Some(end.service)).ended(now, end.seen.service);
-        push(&mut self.news.ends, *end);
-        if all || part { Change::Held { all } } else { Change::Ended }
+        let everywhere = record.overall.upstream_ended(now, end.seen.all);
+        let at_service =
+            record.evidence_at_mut(Some(end.service)).upstream_ended(now, end.seen.service);
+        enqueue(&mut self.queued.ends, *end);
+        if everywhere || at_service { Change::Held { all: everywhere } } else { Change::Ended }
     }
 
-    /// An upstream of a service answered a request, whatever it said. Upstreams do not see who asks: no other caller's
-    /// request of this content ends them either. Returns whether a request that was held back is let go by that.
-    pub fn answered(&mut self, now: Millis, print: Fingerprint, service: &str) -> bool {
+    /// Records that an upstream of a service answered a request, with whatever reply. Upstreams do not see the caller,
+    /// so no other caller's request with this content ends them either. Returns whether that released a quarantined
+    /// request.
+    pub fn answered(&mut self, now: Millis, fingerprint: Fingerprint, service: &str) -> bool {
         if self.is_empty() {
             return false;
         }
         let service = name(service);
-        let proven = [None, Some(service)].map(|at| self.against(print, at).count() >= PROOF);
-        let Some(callers) = self.contents.get_mut(&print.content) else { return false };
+        let quorum = [None, Some(service)]
+            .map(|at| self.applicable_quarantines(fingerprint, at).count() >= CALLER_QUORUM);
+        let Some(callers) = self.contents.get_mut(&fingerprint.content) else { return false };
         let mut released = false;
         for (caller, record) in callers {
-            let of = Hold::of(Fingerprint { caller: *caller, ..print });
-            let own = *caller == print.caller;
-            for (at, mark) in record.marks_mut() {
-                let shown = match at {
-                    None => own || proven[0],
-                    Some(at) => at == service && (own || proven[1]),
+            let of = QuarantineState::initial(Fingerprint { caller: *caller, ..fingerprint });
+            let own = *caller == fingerprint.caller;
+            for (at, evidence) in record.all_evidence_mut() {
+                let applies = match at {
+                    None => own || quorum[0],
+                    Some(at) => at == service && (own || quorum[1]),
                 };
                 let here = at.is_none() || at == Some(service);
-                if here && (shown || !mark.held()) && mark.answered() {
+                if here && (applies || !evidence.is_quarantined()) && evidence.clear() {
                     released = true;
-                    push(&mut self.news.holds, mark.hold(now, Hold { service: at, ..of }));
+                    enqueue(
+                        &mut self.queued.holds,
+                        evidence.state(now, QuarantineState { service: at, ..of }),
+                    );
                 }
             }
         }
         released
     }
 
-    /// Takes over what another VM says of a request that is held back, or was let go.
-    pub fn merge(&mut self, now: Millis, hold: &Hold) -> Change {
-        let record = self.enter(now, hold.print);
-        let mark = record.mark_mut(hold.service);
-        if !mark.merge(now, hold) {
+    /// Adopts another VM's state of a request that was quarantined or released there.
+    pub fn merge(&mut self, now: Millis, state: &QuarantineState) -> Change {
+        let record = self.record_or_insert(now, state.print);
+        let evidence = record.evidence_at_mut(state.service);
+        if !evidence.merge(now, state) {
             return Change::None;
         }
-        let held = mark.held();
-        push(&mut self.news.holds, *hold);
-        if held { Change::Held { all: hold.service.is_none() } } else { Change::Released }
+        let quarantined = evidence.is_quarantined();
+        enqueue(&mut self.queued.holds, *state);
+        if quarantined { Change::Held { all: state.service.is_none() } } else { Change::Released }
     }
 
-    /// Lets a request go, as it is sent by one caller. Returns whether it was held back.
-    pub fn release(&mut self, now: Millis, print: Fingerprint) -> bool {
-        let Some(record) = self.record_mut(print) else { return false };
-        let held = record.marks_mut().filter(|(_, mark)| mark.held());
-        let released: SmallVec<[Hold; 1]> = held
-            .map(|(service, mark)| {
-                mark.answered();
-                mark.hold(now, Hold { service, ..Hold::of(print) })
+    /// Releases one caller's request. Returns whether it was quarantined.
+    pub fn release(&mut self, now: Millis, fingerprint: Fingerprint) -> bool {
+        let Some(record) = self.record_mut(fingerprint) else { return false };
+        let quarantined =
+            record.all_evidence_mut().filter(|(_, evidence)| evidence.is_quarantined());
+        let released: SmallVec<[QuarantineState; 1]> = quarantined
+            .map(|(service, evidence)| {
+                evidence.clear();
+                evidence.state(
+                    now,
+                    QuarantineState { service, ..QuarantineState::initial(fingerprint) },
+                )
             })
             .collect();
-        released.iter().for_each(|hold| push(&mut self.news.holds, *hold));
+        released.iter().for_each(|state| enqueue(&mut self.queued.holds, *state));
         !released.is_empty()
     }
 
-    /// Takes what is to be told to other VMs, a packet at a time.
+    /// Takes queued reports for other VMs, at most one packet of them.
     pub fn take_news(&mut self) -> Option<News> {
-        let ends = self.news.ends.len().min(TOLD);
-        let holds = self.news.holds.len().min(TOLD);
-        let news = News {
-            ends: self.news.ends.drain(..ends).collect(),
-            holds: self.news.holds.drain(..holds).collect(),
+        let ends = self.queued.ends.len().min(MAX_UPDATE_ENTRIES);
+        let holds = self.queued.holds.len().min(MAX_UPDATE_ENTRIES);
+        let update = News {
+            ends: self.queued.ends.drain(..ends).collect(),
+            holds: self.queued.holds.drain(..holds).collect(),
         };
-        (!news.is_empty()).then_some(news)
+        (!update.is_empty()).then_some(update)
     }
 
-    /// All that is held back, or was let go, for VMs that may have missed it. From `from` on, of as many as one packet
-    /// takes.
-    pub fn holds_from(&self, now: Millis, from: usize) -> Vec<Hold> {
+    /// One packet of the states of requests that were quarantined or released, starting with number `from`, for VMs
+    /// that may have missed them.
+    pub fn holds_from(&self, now: Millis, from: usize) -> Vec<QuarantineState> {
         let mut all = self.holds_all(now);
         let from = if all.is_empty() { 0 } else { from % all.len() };
         all.rotate_left(from);
-        all.truncate(TOLD);
+        all.truncate(MAX_UPDATE_ENTRIES);
         all
     }
 
-    /// All that is held back, or was let go.
-    pub fn holds_all(&self, now: Millis) -> Vec<Hold> {
+    /// The states of all requests that were quarantined or released.
+    pub fn holds_all(&self, now: Millis) -> Vec<QuarantineState> {
         let mut all = Vec::new();
-        for (print, record) in self.iter() {
-            for (service, mark) in record.marks() {
-                let hold = mark.hold(now, Hold { service, ..Hold::of(print) });
-                if hold.turn > 0 {
-                    all.push(hold);
+        for (fingerprint, record) in self.iter() {
+            for (service, evidence) in record.all_evidence() {
+                let state = evidence.state(
+                    now,
+                    QuarantineState { service, ..QuarantineState::initial(fingerprint) },
+                );
+                if state.epoch > 0 {
+                    all.push(state);
                 }
             }
         }
         all
     }
 
-    /// What is held back.
-    pub fn list(&self, now: Millis) -> Vec<Held> {
-        let held = self.iter().filter(|(_, record)| record.held());
-        let mut list: Vec<Held> = held.map(|(print, record)| held_of(now, print, record)).collect();
-        list.sort_by_key(|held| held.print);
+    /// The quarantined requests.
+    pub fn list(&self, now: Millis) -> Vec<QuarantinedRequest> {
+        let quarantined = self.iter().filter(|(_, record)| record.is_quarantined());
+        let mut list: Vec<QuarantinedRequest> = quarantined
+            .map(|(fingerprint, record)| quarantined_request(now, fingerprint, record))
+            .collect();
+        list.sort_by_key(|request| request.print);
         list
     }
 
-    /// Requests that are held back, and all that are remembered.
+    /// Numbers of quarantined requests and of all remembered ones.
     pub fn counts(&self) -> (usize, usize) {
-        (self.iter().filter(|(_, record)| record.held()).count(), self.records)
+        (self.iter().filter(|(_, record)| record.is_quarantined()).count(), self.records)
     }
 
-    /// Forgets what was not asked for in a long while.
+    /// Evicts records whose retention time is over.
     pub fn sweep(&mut self, now: Millis) {
         for callers in self.contents.values_mut() {
             callers.retain(|(_, record)| {
-                let kept = if record.held() { FORGET_HELD } else { FORGET };
-                now - record.touched < kept
+                let retention =
+                    if record.is_quarantined() { QUARANTINE_RETENTION_MS } else { RETENTION_MS };
+                now - record.last_used < retention
             });
         }
         self.contents.retain(|_, callers| !callers.is_empty());
@@ -275,112 +302,139 @@
         })
     }
 
-    fn record(&self, print: Fingerprint) -> Option<&Record> {
-        let callers = self.contents.get(&print.content)?;
-        callers.iter().find(|(caller, _)| *caller == print.caller).map(|(_, record)| record)
+    fn record(&self, fingerprint: Fingerprint) -> Option<&Record> {
+        let callers = self.contents.get(&fingerprint.content)?;
+        callers.iter().find(|(caller, _)| *caller == fingerprint.caller).map(|(_, record)| record)
     }
 
-    fn record_mut(&mut self, print: Fingerprint) -> Option<&mut Record> {
-        let callers = self.contents.get_mut(&print.content)?;
-        callers.iter_mut().find(|(caller, _)| *caller == print.caller).map(|(_, record)| record)
+    fn record_mut(&mut self, fingerprint: Fingerprint) -> Option<&mut Record> {
+        let callers = self.contents.get_mut(&fingerprint.content)?;
+        callers
+            .iter_mut()
+            .find(|(caller, _)| *caller == fingerprint.caller)
+            .map(|(_, record)| record)
     }
 
-    /// The record of a request; one that is new takes the place of the one that was asked for longest ago.
-    fn enter(&mut self, now: Millis, print: Fingerprint) -> &mut Record {
-        if self.record(print).is_none() {
-            if self.records >= RECORDS {
+    /// The record of a request. A new one replaces the least recently used one if there is no room.
+    fn record_or_insert(&mut self, now: Millis, fingerprint: Fingerprint) -> &mut Record {
+        if self.record(fingerprint).is_none() {
+            if self.records >= MAX_RECORDS {
                 self.evict();
             }
             self.records += 1;
-            self.contents.entry(print.content).or_default().push((print.caller, Record::default()));
+            self.contents
+                .entry(fingerprint.content)
+                .or_default()
+                .push((fingerprint.caller, Record::default()));
         }
-        let callers = self.contents.entry(print.content).or_default();
-        let at = callers.iter().position(|(caller, _)| *caller == print.caller);
+        let callers = self.contents.entry(fingerprint.content).or_default();
+        let at = callers.iter().position(|(caller, _)| *caller == fingerprint.caller);
         let record = &mut callers[at.unwrap_or_default()].1;
-        record.touched = now;
+        record.last_used = now;
         record
     }
 
     fn evict(&mut self) {
-        let oldest = self.iter().min_by_key(|(_, record)| (record.held(), record.touched));
-        let Some(print) = oldest.map(|(print, _)| print) else { return };
-        if let Some(callers) = self.contents.get_mut(&print.content) {
-            callers.retain(|(caller, _)| *caller != print.caller);
+        let oldest =
+            self.iter().min_by_key(|(_, record)| (record.is_quarantined(), record.last_used));
+        let Some(fingerprint) = oldest.map(|(fingerprint, _)| fingerprint) else { return };
+        if let Some(callers) = self.contents.get_mut(&fingerprint.content) {
+            callers.retain(|(caller, _)| *caller != fingerprint.caller);
             if callers.is_empty() {
-                self.contents.remove(&print.content);
+                self.contents.remove(&fingerprint.content);
             }
         }
         self.records -= 1;
     }
 
-    /// What holds a request back, at a service or everywhere: what its caller's requests did, or what those of two
-    /// other callers did.
-    fn against(
+    /// The quarantines that apply to a request, at a service or everywhere: its own caller's, or those of two other
+    /// callers.
+    fn applicable_quarantines(
         &self,
-        print: Fingerprint,
+        fingerprint: Fingerprint,
         service: Option<u32>,
-    ) -> impl Iterator<Item = (u32, Mark)> {
-        let callers = self.contents.get(&print.content).into_iter().flatten();
-        let held = callers.map(move |(caller, record)| (*caller, record.mark(service)));
-        let held: SmallVec<[(u32, Mark); 2]> = held.filter(|(_, mark)| mark.held()).collect();
-        let holds = held.len() >= PROOF || held.iter().any(|(caller, _)| *caller == print.caller);
-        held.into_iter().filter(move |_| holds)
+    ) -> impl Iterator<Item = (u32, Evidence)> {
+        let callers = self.contents.get(&fingerprint.content).into_iter().flatten();
+        let quarantined =
+            callers.map(move |(caller, record)| (*caller, record.evidence_at(service)));
+        let quarantined: SmallVec<[(u32, Evidence); 2]> =
+            quarantined.filter(|(_, evidence)| evidence.is_quarantined()).collect();
+        let applies = quarantined.len() >= CALLER_QUORUM
+            || quarantined.iter().any(|(caller, _)| *caller == fingerprint.caller);
+        quarantined.into_iter().filter(move |_| applies)
     }
 
-    /// How often upstreams ended under a request, at a service or anywhere.
-    fn rounds_at(&self, print: Fingerprint, service: Option<u32>) -> u8 {
-        let holds = self.against(print, service).next().is_some();
-        let callers = self.contents.get(&print.content).into_iter().flatten();
+    /// Number of rounds in which upstreams ended under a request, at a service or anywhere.
+    fn rounds_at(&self, fingerprint: Fingerprint, service: Option<u32>) -> u8 {
+        let applies = self.applicable_quarantines(fingerprint, service).next().is_some();
+        let callers = self.contents.get(&fingerprint.content).into_iter().flatten();
         let rounds = callers.map(|(caller, record)| {
-            // What another caller's requests did says what this one may do, but it is not held back for it.
-            let most = if holds || *caller == print.caller { LIMIT } else { LIMIT - 1 };
-            record.mark(service).rounds().min(most)
+            // Rounds of another caller's requests limit this one, but alone do not quarantine it.
+            let most = if applies || *caller == fingerprint.caller { LIMIT } else { LIMIT - 1 };
+            record.evidence_at(service).rounds().min(most)
         });
         rounds.max().unwrap_or_default()
     }
 
-    /// What may be done with a request, at a service or anywhere.
-    fn judge(&mut self, now: Millis, print: Fingerprint, service: Option<u32>) -> Verdict {
-        let held: SmallVec<[(u32, Mark); 2]> = self.against(print, service).collect();
-        let Some((caller, mark)) = held.iter().min_by_key(|(caller, _)| *caller).copied() else {
-            return careful(self.rounds_at(print, service));
+    /// Decides what may be done with a request, at a service or anywhere.
+    fn decide(&mut self, now: Millis, fingerprint: Fingerprint, service: Option<u32>) -> Verdict {
+        let quarantined: SmallVec<[(u32, Evidence); 2]> =
+            self.applicable_quarantines(fingerprint, service).collect();
+        let Some((caller, evidence)) =
+            quarantined.iter().min_by_key(|(caller, _)| *caller).copied()
+        else {
+            return limited(self.rounds_at(fingerprint, service));
         };
-        let trials = held.iter().map(|(_, mark)| mark.trials()).fold(0, u8::saturating_add);
-        if !mark.due(now) || trials >= TRIALS || !self.roster.leads(print.content) {
-            return Verdict::Held(mark.wait(now));
+        let trials =
+            quarantined.iter().map(|(_, evidence)| evidence.trials()).fold(0, u8::saturating_add);
+        if !evidence.is_trial_due(now)
+            || trials >= MAX_TRIALS
+            || !self.live_vms.is_own_trial(fingerprint.content)
+        {
+            return Verdict::Held(evidence.retry_after(now));
         }
-        let of = Fingerprint { caller, ..print };
+        let of = Fingerprint { caller, ..fingerprint };
         if let Some(record) = self.record_mut(of) {
-            let mark = record.mark_mut(service);
-            mark.tried(now);
-            let hold = mark.hold(now, Hold { service, ..Hold::of(of) });
-            push(&mut self.news.holds, hold);
+            let evidence = record.evidence_at_mut(service);
+            evidence.trial_started(now);
+            let state =
+                evidence.state(now, QuarantineState { service, ..QuarantineState::initial(of) });
+            enqueue(&mut self.queued.holds, state);
         }
         Verdict::Careful(LIMIT - 1)
     }
 }
 
-fn careful(rounds: u8) -> Verdict {
+fn limited(rounds: u8) -> Verdict {
     if rounds == 0 { Verdict::Free } else { Verdict::Careful(rounds.min(LIMIT - 1)) }
 }
 
-fn held_of(now: Millis, print: Fingerprint, record: &Record) -> Held {
-    let marks = record.marks().map(|(_, mark)| mark);
-    let marks: SmallVec<[&Mark; 2]> = marks.filter(|mark| mark.held()).collect();
-    Held {
-        print,
-        all: record.all.held(),
-        ended: record.ended(),
-        trials: marks.iter().map(|mark| mark.trials()).max().unwrap_or_default(),
-        wait: marks.iter().map(|mark| mark.wait(now)).min().unwrap_or_default(),
-        idle: now - record.touched,
+fn quarantined_request(
+    now: Millis,
+    fingerprint: Fingerprint,
+    record: &Record,
+) -> QuarantinedRequest {
+    let evidence = record.all_evidence().map(|(_, evidence)| evidence);
+    let quarantined: SmallVec<[&Evidence; 2]> =
+        evidence.filter(|evidence| evidence.is_quarantined()).collect();
+    QuarantinedRequest {
+        print: fingerprint,
+        all: record.overall.is_quarantined(),
+        ended: record.ended_count(),
+        trials: quarantined.iter().map(|evidence| evidence.trials()).max().unwrap_or_default(),
+        wait: quarantined
+            .iter()
+            .map(|evidence| evidence.retry_after(now))
+            .min()
+            .unwrap_or_default(),
+        idle: now - record.last_used,
     }
 }
 
-/// Adds a word that waits to be told; the oldest makes room for it.
-fn push<T>(waiting: &mut Vec<T>, word: T) {
-    if waiting.len() >= WAITING {
-        waiting.remove(0);
+/// Queues a report for other VMs; drops the oldest if the queue is full.
+fn enqueue<T>(queue: &mut Vec<T>, report: T) {
+    if queue.len() >= MAX_QUEUED_REPORTS {
+        queue.remove(0);
     }
-    waiting.push(word);
+    queue.push(report);
 }
--- a/crates/tgw-quarantine/src/lib.rs
+++ b/crates/tgw-quarantine/src/lib.rs
@@ -1,22 +1,23 @@
-//! Requests under which upstreams end: which are the same, what is known of them, and when they are held back.
+//! Quarantine of queries of death, requests that end the upstreams which run them: fingerprints that tell which
+//! requests are the same, the evidence against each, and the decision to quarantine it.
 //!
-//! A request may end each process that begins to run it, and its caller, to whom it has just failed, sends it again.
-//! Nothing in one attempt tells it from a request that met a fault of its upstreams; what does is that it happens
-//! again, at other upstreams, each time that it is sent, and that none ever answers it. A [`Ledger`] counts that in
-//! rounds, one VM's words to the others included, and says of each send whether it may be made. No I/O.
+//! Such a request may end every process that starts to run it, and its caller, whose call has just failed, sends it
+//! again. Within one attempt it looks like a request that met a fault of its upstreams. What distinguishes it is that
+//! each send ends other upstreams and that none ever answers. A [`Ledger`] counts this in rounds, including the
+//! reports of other VMs, and decides for each send whether it may be made. No I/O.
 
+/// Evidence against one request, at one service or at all.
+mod evidence;
 /// Which requests are the same.
 pub mod fingerprint;
-/// What is known of all requests.
+/// Evidence against all requests, and the decisions based on it.
 pub mod ledger;
-/// What is known of one request at one service, or at all.
-mod mark;
-/// What VMs tell one another.
+/// Which VM tries a quarantined request again.
+mod live_vms;
+/// Quarantine messages between VMs.
 pub mod message;
-/// What is known of one request.
+/// Evidence against one request.
 mod record;
-/// Who tries a request again that is held back.
-mod roster;
 
 pub use fingerprint::Fingerprint;
 pub use ledger::Ledger;
--- a/crates/tgw-quarantine/src/message.rs
+++ b/crates/tgw-quarantine/src/message.rs
@@ -1,67 +1,68 @@
-//! What VMs tell one another.
+//! Quarantine messages between VMs.
 
 use crate::Fingerprint;
 use serde::{Deserialize, Serialize};
 
-/// How far the rounds of a request had come, as known where one of its sends was made.
+/// Rounds of a request that were known when one of its sends was made.
 ///
-/// Counted as logical time is: an upstream that ends under a send that knew of round 1 makes round 2, whoever saw
-/// it. Sends that were made without knowing of one another, as the first ones of a search to all of its shards, make
-/// one round between them: a rack that loses power ends them all, and is no evidence against any of them.
+/// Rounds are counted like logical time: an upstream that ends under a send made with round 1 known makes round 2,
+/// whichever VM saw it. Sends made without knowing of one another, such as the first ones of a search to all of its
+/// shards, make one round together: a rack that loses power ends them all, which is no evidence against any of them.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Seen {
-    /// Of the request wherever it was sent.
+    /// Rounds at all services together.
     pub all: u8,
-    /// Of the request at the service of the send.
+    /// Rounds at the service of the send.
     pub service: u8,
 }
 
-/// An upstream ended under a request.
+/// An upstream's process that ended while it ran a request.
 #[derive(Copy, Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct End {
-    /// The request.
+    /// Fingerprint of the request.
     pub print: Fingerprint,
     /// The upstream's service, hashed.
     pub service: u32,
     /// The upstream's incarnation, hashed.
     pub upstream: u32,
-    /// What was known where it was sent.
+    /// Rounds known when the request was sent.
     pub seen: Seen,
 }
 
-/// Whether a request is held back.
+/// Quarantine of a request, begun or ended, at one service or everywhere.
 #[derive(Copy, Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Hold {
-    /// The request.
+pub struct QuarantineState {
+    /// Fingerprint of the request.
     pub print: Fingerprint,
-    /// The service where it is held back, hashed; `None` where it is everywhere.
+    /// Hash of the service where the state applies; `None` for all services.
     pub service: Option<u32>,
-    /// How often it was held back and let go: odd while it is held back.
-    pub turn: u16,
-    /// How often it was tried again since.
+    /// Number of quarantines and releases so far: odd while the request is quarantined.
+    #[serde(rename = "turn")]
+    pub epoch: u16,
+    /// Trials since the quarantine began.
     pub trials: u8,
-    /// Time left until it may be tried again, in whole ms.
+    /// Time left until the next trial, in whole ms.
     pub wait: u32,
 }
 
-impl Hold {
-    /// A request that was never held back.
-    pub fn of(print: Fingerprint) -> Self {
-        Self { print, service: None, turn: 0, trials: 0, wait: 0 }
+impl QuarantineState {
+    /// The state of a request that was never quarantined.
+    pub fn initial(fingerprint: Fingerprint) -> Self {
+        Self { print: fingerprint, service: None, epoch: 0, trials: 0, wait: 0 }
     }
 }
 
-/// What one VM tells others.
+/// An update from one VM to others.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct News {
-    /// Upstreams that ended, in the order in which that was learnt.
+    /// Upstreams that ended, in the order in which the sender learnt of them.
     pub ends: Vec<End>,
-    /// Requests that are held back, or were let go.
-    pub holds: Vec<Hold>,
+    /// Requests that were quarantined or released.
+    pub holds: Vec<QuarantineState>,
 }
 
 impl News {
-    /// Whether there is nothing to tell.
+    /// Whether the update contains nothing.
     pub fn is_empty(&self) -> bool {
         self.ends.is_empty() && self.holds.is_empty()
     }
--- a/crates/tgw-quarantine/src/record.rs
+++ b/crates/tgw-quarantine/src/record.rs
@@ -1,73 +1,75 @@
-use crate::mark::Mark;
+use crate::evidence::Evidence;
 use smallvec::SmallVec;
 use tgw_clock::Millis;
 
-/// Upstreams that are remembered by name, so that word of one counts once. More than the rounds need; of a search of
-/// many shards the last ones.
-const REMEMBERED: usize = 32;
+/// Ended upstreams that are remembered by incarnation, so that repeated reports of one count once. This is more than
+/// the rounds need; of a search of many shards the last ones are kept.
+const MAX_ENDED_UPSTREAMS: usize = 32;
 
-/// What is known of one request.
+/// Evidence against one request of one caller.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Record {
-    /// Wherever it was sent. Held back, it is sent nowhere.
-    pub(crate) all: Mark,
-    /// At services under which upstreams ended, hashed: one shard may hold what the others bear.
-    pub(crate) services: SmallVec<[(u32, Mark); 1]>,
-    /// Upstreams that ended under it, by incarnation, hashed.
+    /// Evidence from all services. A request quarantined by this is sent nowhere.
+    pub(crate) overall: Evidence,
+    /// Evidence by hashed service: a request may end the upstreams of one shard and run on all others.
+    pub(crate) services: SmallVec<[(u32, Evidence); 1]>,
+    /// Incarnations of the upstreams that ended under the request, hashed.
     ended: SmallVec<[u32; 4]>,
-    /// When it was last asked for, or word of it came.
-    pub(crate) touched: Millis,
+    /// Time of the last request or report.
+    pub(crate) last_used: Millis,
 }
 
 impl Record {
-    /// Whether word of this upstream is new.
-    pub(crate) fn note(&mut self, upstream: u32) -> bool {
+    /// Records an ended upstream; false if it is recorded already.
+    pub(crate) fn add_ended(&mut self, upstream: u32) -> bool {
         if self.ended.contains(&upstream) {
             return false;
         }
-        if self.ended.len() >= REMEMBERED {
+        if self.ended.len() >= MAX_ENDED_UPSTREAMS {
             self.ended.remove(0);
         }
         self.ended.push(upstream);
         true
     }
 
-    /// Upstreams that ended under it, as far as they are remembered.
-    pub(crate) fn ended(&self) -> usize {
+    /// Number of remembered upstreams that ended under the request.
+    pub(crate) fn ended_count(&self) -> usize {
         self.ended.len()
     }
 
-    /// Of a service, or of the request wherever it is sent.
-    pub(crate) fn mark(&self, service: Option<u32>) -> Mark {
-        let Some(service) = service else { return self.all };
+    /// The evidence at a service, or from all services.
+    pub(crate) fn evidence_at(&self, service: Option<u32>) -> Evidence {
+        let Some(service) = service else { return self.overall };
         let known = self.services.iter().find(|(name, _)| *name == service);
-        known.map(|(_, mark)| *mark).unwrap_or_default()
+        known.map(|(_, evidence)| *evidence).unwrap_or_default()
     }
 
-    pub(crate) fn mark_mut(&mut self, service: Option<u32>) -> &mut Mark {
-        let Some(service) = service else { return &mut self.all };
+    pub(crate) fn evidence_at_mut(&mut self, service: Option<u32>) -> &mut Evidence {
+        let Some(service) = service else { return &mut self.overall };
         let at = self.services.iter().position(|(name, _)| *name == service);
         let at = at.unwrap_or_else(|| {
-            self.services.push((service, Mark::default()));
+            self.services.push((service, Evidence::default()));
             self.services.len() - 1
         });
         &mut self.services[at].1
     }
 
-    /// All of them, with their services.
-    pub(crate) fn marks_mut(&mut self) -> impl Iterator<Item = (Option<u32>, &mut Mark)> {
-        let services = self.services.iter_mut().map(|(name, mark)| (Some(*name), mark));
-        services.chain([(None, &mut self.all)])
+    /// All evidence, with its service; `None` for all services.
+    pub(crate) fn all_evidence_mut(
+        &mut self,
+    ) -> impl Iterator<Item = (Option<u32>, &mut Evidence)> {
+        let services = self.services.iter_mut().map(|(name, evidence)| (Some(*name), evidence));
+        services.chain([(None, &mut self.overall)])
     }
 
-    /// All of them, with their services.
-    pub(crate) fn marks(&self) -> impl Iterator<Item = (Option<u32>, &Mark)> {
-        let services = self.services.iter().map(|(name, mark)| (Some(*name), mark));
-        services.chain([(None, &self.all)])
+    /// All evidence, with its service; `None` for all services.
+    pub(crate) fn all_evidence(&self) -> impl Iterator<Item = (Option<u32>, &Evidence)> {
+        let services = self.services.iter().map(|(name, evidence)| (Some(*name), evidence));
+        services.chain([(None, &self.overall)])
     }
 
-    /// Whether it is held back anywhere.
-    pub(crate) fn held(&self) -> bool {
-        self.marks().any(|(_, mark)| mark.held())
+    /// Whether the request is quarantined at any service or everywhere.
+    pub(crate) fn is_quarantined(&self) -> bool {
+        self.all_evidence().any(|(_, evidence)| evidence.is_quarantined())
     }
 }
--- a/crates/tgw-quarantine/tests/quarantine.rs
+++ b/crates/tgw-quarantine/tests/quarantine.rs
@@ -1,7 +1,7 @@
-//! Tests of what tells requests apart that end upstreams, and of what is done with them.
+//! Tests of fingerprints and of the quarantine of requests that end upstreams.
 
 #![allow(clippy::expect_used, clippy::unwrap_used, clippy::panic)] // A test fails by panic.
 
 mod fingerprint;
 mod ledger;
-mod words;
+mod reports;
--- /dev/null
+++ b/crates/tgw-quarantine/tests/reports/mod.rs
@@ -0,0 +1,131 @@
+//! Reports between VMs, in any order.
+
+use crate::ledger::end;
+use proptest::prelude::*;
+use tgw_clock::Millis;
+use tgw_quarantine::{
+    Fingerprint, Ledger,
+    ledger::Verdict,
+    message::{End, News, QuarantineState, Seen},
+};
+
+const FINGERPRINT: Fingerprint = Fingerprint { content: 7, caller: 1 };
+/// Longer than a request waits for the send that decides on its quarantine.
+const LATER: Millis = Millis::new(1_000);
+
+fn reports() -> impl Strategy<Value = Vec<End>> {
+    let one = (0u8..4, 0u8..4, 0u32..3, 0u32..40);
+    let report = one.prop_map(|(all, service, number, upstream)| {
+        end(FINGERPRINT, &format!("s{number}"), upstream, Seen { all, service })
+    });
+    // All VMs report the same about one upstream.
+    prop::collection::vec(report, 0..12).prop_map(|mut reports| {
+        reports.sort_by_key(|report| report.upstream);
+        reports.dedup_by_key(|report| report.upstream);
+        reports
+    })
+}
+
+fn verdicts(ledger: &mut Ledger) -> [Verdict; 4] {
+    let parts = ["s0", "s1", "s2"].map(|service| ledger.part(LATER, FINGERPRINT, service));
+    [ledger.verdict(LATER, FINGERPRINT), parts[0], parts[1], parts[2]]
+}
+
+proptest! {
+    // Reports of ended upstreams reach two VMs in different orders, one of them twice. Both VMs decide alike.
+    #[test]
+    fn verdicts_do_not_depend_on_report_order(
+        reports in reports(),
+        order in any::<prop::sample::Index>(),
+        twice in any::<prop::sample::Index>(),
+    ) {
+        let (mut one, mut other) = (Ledger::default(), Ledger::default());
+        for report in &reports {
+            one.ended(Millis::ZERO, report);
+        }
+        let mut shuffled = reports.clone();
+        if !reports.is_empty() {
+            shuffled.rotate_left(order.index(reports.len()));
+            shuffled.push(reports[twice.index(reports.len())]);
+            shuffled.reverse();
+        }
+        for report in &shuffled {
+            other.ended(Millis::ZERO, report);
+        }
+        prop_assert_eq!(verdicts(&mut one), verdicts(&mut other));
+    }
+
+    // Each VM forwards reports that are new to it to all others. Known reports must not be forwarded again, or they
+    // would circulate without end.
+    #[test]
+    fn forwarded_reports_stop_circulating(reports in reports()) {
+        let mut vms = [(); 3].map(|()| Ledger::default());
+        for report in &reports {
+            vms[0].ended(Millis::ZERO, report);
+        }
+        let mut sent = 0;
+        loop {
+            let queued: Vec<(usize, News)> = vms
+                .iter_mut()
+                .enumerate()
+                .filter_map(|(vm, ledger)| Some((vm, ledger.take_news()?)))
+                .collect();
+            if queued.is_empty() {
+                break;
+            }
+            for (from, update) in queued {
+                sent += 1;
+                prop_assert!(sent <= 3 * (reports.len() + 1));
+                for (_, ledger) in vms.iter_mut().enumerate().filter(|(vm, _)| *vm != from) {
+                    for end in &update.ends {
+                        ledger.ended(Millis::ZERO, end);
+                    }
+                    for state in &update.holds {
+                        ledger.merge(Millis::ZERO, state);
+                    }
+                }
+            }
+        }
+    }
+
+    // A corrupted packet carries arbitrary values. None causes a panic, and a release still ends the quarantine.
+    #[test]
+    fn corrupted_reports_are_survived(
+        epoch in any::<u16>(),
+        trials in any::<u8>(),
+        wait in any::<u32>(),
+        all in any::<u8>(),
+        service in any::<u8>(),
+    ) {
+        let mut ledger = Ledger::default();
+        let state = QuarantineState { print: FINGERPRINT, service: None, epoch, trials, wait };
+        ledger.merge(LATER, &state);
+        ledger.merge(LATER, &QuarantineState { service: Some(3), ..state });
+        ledger.ended(LATER, &end(FINGERPRINT, "s0", 1, Seen { all, service }));
+        ledger.verdict(Millis::MAX, FINGERPRINT);
+        ledger.answered(LATER, FINGERPRINT, "s0");
+        ledger.release(LATER, FINGERPRINT);
+        prop_assert!(ledger.list(LATER).is_empty());
+    }
+}
+
+// A VM is cut off while others quarantine a request, and misses all reports. The states that the others repeat are
+// enough for it, and a state that it has already is not forwarded again.
+#[test]
+fn repeated_states_inform_a_vm_that_missed_the_reports() {
+    let mut ledger = Ledger::default();
+    for number in 0..3 {
+        let seen = ledger.known(FINGERPRINT, "s0");
+        ledger.ended(Millis::ZERO, &end(FINGERPRINT, "s0", number, seen));
+    }
+    let mut behind = Ledger::default();
+    for state in ledger.holds_from(LATER, 0) {
+        behind.merge(LATER, &state);
+    }
+    assert_eq!(verdicts(&mut behind)[0], verdicts(&mut ledger)[0]);
+    while behind.take_news().is_some() {}
+    for state in ledger.holds_from(Millis::ZERO, 0) {
+        behind.merge(LATER, &state);
+    }
+    assert_eq!(behind.take_news(), None);
+}
--- a/crates/tgw-spread/src/message.rs
+++ b/crates/tgw-spread/src/message.rs
@@ -90,7 +90,7 @@
     /// The evacuated failure domains.
     pub evacuations: Option<evacuations::News>,
     /// Requests that are held back, for a VM that starts.
-    pub held: Vec<quarantine::Hold>,
+    pub held: Vec<quarantine::QuarantineState>,
 }
 
 /// What changed in the configuration.
--- a/crates/tgw-spread/tests/spread.rs
+++ b/crates/tgw-spread/tests/spread.rs
@@ -15,7 +15,7 @@
 use tgw_forward::{Fleet, upstream::Entry};
 use tgw_quarantine::{
     Fingerprint,
-    message::{End, Hold, News, Seen},
+    message::{End, News, QuarantineState, Seen},
 };
 use tgw_route::{Config, Residency, Route, Safety, Target};
 use tgw_spread::{
@@ -193,7 +193,7 @@
     let late = Late { upstream: "u".into(), started: 3, overdue: true, expected: 12.0 };
     let (print, seen) = (request.print, request.seen);
     let ends = vec![End { print, service: 3, upstream: 4, seen }];
-    let holds = vec![Hold { print, service: None, turn: 1, trials: 0, wait: 9 }];
+    let holds = vec![QuarantineState { print, service: None, epoch: 1, trials: 0, wait: 9 }];
     vec![
         Datagram::Quarantine(News { ends, holds }),
         Datagram::Hop(Box::new(request)),
