--- a/crates/tgw-spread/src/evacuations.rs
+++ b/crates/tgw-spread/src/evacuations.rs
@@ -1,23 +1,23 @@
-//! Failure domains whose upstreams are to get nothing more.
+//! Evacuated failure domains, whose upstreams receive no further requests.
 
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeSet, rc::Rc};
 
 /// The evacuated failure domains as this VM knows them, from the store and from other VMs.
 ///
-/// The list is short and always told whole: what is told at a version is the list as of that version of the store.
+/// The list is short and always sent whole: an update with a version holds the list as of that version of the store.
 #[derive(Clone, Debug, Default)]
 pub struct Evacuations {
     version: u64,
     domains: BTreeSet<Rc<str>>,
 }
 
-/// What another VM tells.
+/// An update from another VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct News {
-    /// The version of the store as of which it holds.
+    /// The version of the store that the list is as of.
     pub version: u64,
-    /// The evacuated failure domains; some may be known to nobody.
+    /// The evacuated failure domains; some may be unknown to all VMs.
     pub domains: BTreeSet<Rc<str>>,
 }
 
@@ -32,22 +32,23 @@
         &self.domains
     }
 
-    /// The store was read as of `version`; whether that changed anything.
+    /// Applies a list read from the store as of `version`; returns whether anything changed.
     pub fn listed(&mut self, version: u64, domains: BTreeSet<Rc<str>>) -> bool {
-        // A peer may have told what happened after this list was made; the watch that follows tells it again.
-        let news = version >= self.version && (self.version == 0 || domains != self.domains);
-        if news {
+        // A peer may have reported later changes than this list has; the watch that follows brings them again.
+        let changed = version >= self.version && (self.version == 0 || domains != self.domains);
+        if changed {
             (self.version, self.domains) = (version, domains);
         } else {
-            // What a peer says of the time before would bring back what has been taken back since.
+            // Otherwise an older update of a peer could bring back an evacuation that has ended since.
             self.version = self.version.max(version);
         }
-        news
+        changed
     }
 
-    /// The store tells that a failure domain is evacuated, or not any more, as of `version`; whether that is news.
+    /// Applies a change from the store as of `version`: a domain is evacuated, or not any more. Returns whether
+    /// anything changed.
     ///
-    /// Several such words may hold as of one version, each later than the one before.
+    /// Several changes may carry one version; each is later than the one before.
     pub fn changed(&mut self, version: u64, domain: &Rc<str>, evacuated: bool) -> bool {
         if version < self.version {
             return false;
@@ -56,7 +57,7 @@
         if evacuated { self.domains.insert(domain.clone()) } else { self.domains.remove(domain) }
     }
 
-    /// A copy of the store was read, which may be out of date: nothing is claimed of it.
+    /// Uses the list of a copy of the store, without a version, as the copy may be out of date.
     pub fn copied(&mut self, domains: BTreeSet<Rc<str>>) {
         if self.version == 0 {
             self.domains = domains;
@@ -69,11 +70,11 @@
         (self.version > version).then(|| News { version: self.version, domains: domains.clone() })
     }
 
-    /// Another VM tells its list; whether it is newer.
-    pub fn told(&mut self, news: News) -> bool {
-        let newer = news.version > self.version;
+    /// Applies another VM's update if it is newer, and returns whether it was.
+    pub fn told(&mut self, update: News) -> bool {
+        let newer = update.version > self.version;
         if newer {
-            (self.version, self.domains) = (news.version, news.domains);
+            (self.version, self.domains) = (update.version, update.domains);
         }
         newer
     }
--- a/crates/tgw-spread/src/follow.rs
+++ b/crates/tgw-spread/src/follow.rs
@@ -1,97 +1,99 @@
-//! When a VM reads a kind of the platform's store, watches it, waits or leaves it to another VM. No I/O.
+//! Scheduling of the calls to the platform's store for one kind of object: when a VM lists it, watches it, backs off or
+//! leaves it to another VM. No I/O.
 
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use tgw_clock::Millis;
 
-/// How a kind is watched.
+/// Timing of the watches of a kind.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
 pub struct Pace {
-    /// How long one watch waits.
-    pub wait: Millis,
-    /// Pause after news before the next watch.
-    pub gather: Millis,
+    /// How long one watch waits for changes.
+    pub watch_wait: Millis,
+    /// Pause between an update and the next watch.
+    pub batch_delay: Millis,
 }
 
 impl Pace {
-    /// A kind that changes often.
-    pub const OFTEN: Self = Self { wait: WAIT, gather: GATHER };
-    /// A kind that changes a few times a day, each time alone. That its connection went silent shows by probes of the
-    /// connection; a store that says nothing, by the watches of the other kinds. Below the time for which the platform keeps
-    /// its history: a watch that begins before it costs a list besides.
-    pub const SELDOM: Self = Self { wait: Millis::new(15_000), gather: Millis::ZERO };
+    /// For a kind that changes often.
+    pub const OFTEN: Self = Self { watch_wait: WATCH_WAIT_MS, batch_delay: BATCH_DELAY_MS };
+    /// For a kind that changes a few times a day, one change at a time. A stalled connection is detected by probes of
+    /// the connection, and a store that does not respond by the watches of the other kinds. The wait is below the time
+    /// for which the platform keeps its history: a watch that begins before that history costs an additional list.
+    pub const SELDOM: Self = Self { watch_wait: Millis::new(15_000), batch_delay: Millis::ZERO };
 }
 
-/// How long one watch waits, in ms. Each end costs a call. A connection that says nothing any more, while new ones are
-/// answered, shows only when this and [`MARGIN`] have passed: together they stay below the 4 s within which a calm VM
-/// counts as reachable again.
-pub const WAIT: Millis = Millis::new(2_500);
-/// Time in ms for the answer to a watch beyond what it waits for; a slow store takes 0.25 s.
+/// Time in ms that one watch waits for changes. Each watch costs a call. A stalled connection, while new ones are
+/// answered, is detected only after this time and [`MARGIN`]: together they stay below the 4 s within which an
+/// otherwise undisturbed VM counts as reachable again.
+pub const WATCH_WAIT_MS: Millis = Millis::new(2_500);
+/// Time in ms allowed for the reply to a watch beyond its wait; a slow store takes 0.25 s.
 pub const MARGIN: Millis = Millis::new(500);
-/// Time in ms between two probes of the store by a VM that follows it. One that is turned away in silence would else
-/// notice it after a watch and several lists, and nobody who learns from it would hear of a change until then.
+/// Time in ms between two probes of the store by a VM that follows it. Without probes, a VM that the store stops
+/// answering would notice only after a watch and several lists, and no VM that learns from it would receive changes
+/// until then.
 pub const PROBE_EVERY: Millis = Millis::new(800);
-/// Time in ms for the answer to a probe.
+/// Timeout in ms of a probe.
 pub const PROBE_REPLY: Millis = Millis::new(700);
-/// Pause in ms after news before the next watch: what changes meanwhile comes with one call, as when many
-/// upstreams are replaced. It is far below the 3 s in which a change is to be in force.
-pub const GATHER: Millis = Millis::new(500);
-/// Time in ms between looks at whether it is this VM's turn.
-const LOOK: Millis = Millis::new(500);
-/// Time in ms between looks of a VM that knows nothing yet at whether it is to read the store.
+/// Pause in ms between an update and the next watch, so that one call brings all changes of the meantime, as when many
+/// upstreams are replaced. It is far below the 3 s within which a change must be in force.
+pub const BATCH_DELAY_MS: Millis = Millis::new(500);
+/// Time in ms between checks of whether this VM has to read the store.
+const RANK_CHECK_INTERVAL_MS: Millis = Millis::new(500);
+/// Time in ms between such checks on a VM that has no data yet.
 pub const LOOK_NEW: Millis = Millis::new(25);
-/// Failed calls in a row after which the store counts as lost to this VM alone or to all.
-const SEEN: u32 = 2;
-/// VMs of this domain that the store does not answer from which on it is taken for away, not for one that turns
-/// some VMs away: each that takes over from one of them would else try several times in quick succession.
-const AWAY: usize = 3;
-/// VMs of this domain that the store does not answer, for one that takes over and is answered to know that the store
-/// was away, though no call of its own failed: the second of them had taken over from the first.
+/// Failed calls in a row that are tolerated; with one more the store counts as unreachable, for this VM or for all.
+const TOLERATED_FAILURES: u32 = 2;
+/// VMs of this domain that cannot reach the store from which on the store counts as down, rather than as rejecting some
+/// VMs: otherwise each VM that takes over from one of them would retry several times in quick succession.
+const OUTAGE_VMS: usize = 3;
+/// VMs of this domain that cannot reach the store from which on a VM that takes over, and is answered at once, assumes
+/// that the store was down, although no call of its own failed: the second of them had taken over from the first.
 pub const LOST_NEAR: usize = 2;
-/// Failures that a VM which takes over then counts from.
-const AWAY_FAILURES: u32 = 5;
-/// First pause in ms after a failed call; doubles, and each is drawn from half to the whole of it.
-const PAUSE: Millis = Millis::new(100);
-/// Longest pause in ms.
-const PAUSE_MOST: Millis = Millis::new(1_200);
-
-/// What decides whether it is this VM's turn to read.
+/// Least failures that the backoff is computed from while the store counts as down, also right after a takeover.
+const OUTAGE_FAILURES: u32 = 5;
+/// Backoff in ms after the first failed call; doubles, and each is drawn between half of it and the whole.
+const MIN_BACKOFF_MS: Millis = Millis::new(100);
+/// Longest backoff in ms.
+const MAX_BACKOFF_MS: Millis = Millis::new(1_200);
+
+/// What decides whether this VM has to read the store.
 #[derive(Copy, Clone, Debug)]
 pub struct Turn {
-    /// Whether this VM reads for others; `None` until that is settled.
+    /// Whether this VM reads on behalf of others; `None` until that is decided.
     pub relay: Option<bool>,
-    /// Whether anything is known yet.
+    /// Whether this VM has data of the kind.
     pub known: bool,
-    /// When a VM that knows nothing reads the store itself.
+    /// When a VM without data reads the store itself.
     pub due: Millis,
 }
 
-/// What to do next.
+/// The next call to the store, or the time to wait for it.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// It is another VM's turn: look again after so long.
+    /// Another VM reads the store: check again after this time.
     Idle(Millis),
-    /// Nothing for so long.
+    /// Make no call for this time.
     Pause(Millis),
     /// Read the whole list.
     List,
-    /// Wait for changes after a version, for so long.
+    /// Wait for changes after a version.
     Watch {
         /// The version.
         from: u64,
-        /// How long.
+        /// How long the watch waits.
         wait: Millis,
     },
 }
 
 #[derive(Copy, Clone, Debug)]
 enum State {
-    /// Nothing was read since it was last this VM's turn.
-    Away,
+    /// No list was read since this VM last had to read the store.
+    Inactive,
     /// Changes after a version are awaited.
     Watching(u64),
 }
 
-/// A way of asking the store.
+/// A kind of call to the store.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
 pub enum Way {
     /// Reading the configuration.
@@ -109,47 +111,48 @@
 pub enum Probed {
     /// The store answered.
     Answered,
-    /// It refused, or the connection broke.
+    /// The store refused it, or the connection broke.
     Refused,
-    /// It said nothing in time.
+    /// No answer within the timeout.
     Silent,
 }
 
-/// Whether the store answers this VM.
+/// Whether this VM can reach the store.
 ///
-/// Each way of asking counts for itself: where one overwrote the other, a VM that was turned away was blind and not
-/// blind in turn, and no other VM took over from it.
+/// Failures are recorded per kind of call. If one kind overwrote another's result, a VM that the store rejects would
+/// alternate between unreachable and reachable, and no other VM would take over from it.
 #[derive(Clone, Debug, Default)]
 pub struct Sight {
-    lost: [bool; 4],
-    refused: bool,
+    unreachable: [bool; 4],
+    last_probe_refused: bool,
 }
 
 impl Sight {
-    /// Whether the store counts as lost by any way of asking.
+    /// Whether the store counts as unreachable for any kind of call.
     pub fn is_blind(&self) -> bool {
-        self.lost.contains(&true)
+        self.unreachable.contains(&true)
     }
 
-    /// Takes note of one way. Whether that changes what the others are told.
-    pub fn note(&mut self, way: Way, lost: bool) -> bool {
+    /// Records the result of one kind of call. Returns whether that changes the report to other VMs.
+    pub fn note(&mut self, way: Way, unreachable: bool) -> bool {
         let before = self.is_blind();
-        self.lost[way as usize] = lost;
+        self.unreachable[way as usize] = unreachable;
         self.is_blind() != before
     }
 
-    /// Takes note of a probe. One refusal may be a connection that broke, two are not; silence is no accident where an
-    /// answer takes milliseconds. Whether that changes what the others are told.
+    /// Records a probe. One refusal may be a broken connection, two in a row are not; a timeout counts at once, as an
+    /// answer takes only milliseconds. Returns whether that changes the report to other VMs.
     pub fn probed(&mut self, probed: Probed) -> bool {
         let refused = probed == Probed::Refused;
-        let again = std::mem::replace(&mut self.refused, refused) && refused;
+        let again = std::mem::replace(&mut self.last_probe_refused, refused) && refused;
         match probed {
             Probed::Refused if !again => false,
             probed => self.note(Way::Probe, probed != Probed::Answered),
         }
     }
 
-    /// A list was read: the store answers this VM.
+    /// Records that a list was read, so that the store is reachable. Returns whether that changes the report to other
+    /// VMs.
     pub fn read(&mut self, way: Way) -> bool {
         let before = self.is_blind();
         self.note(way, false);
@@ -158,84 +161,86 @@
     }
 }
 
-/// The reading of one kind.
+/// Schedules the calls for one kind.
 #[derive(Clone, Debug)]
 pub struct Follow {
     pace: Pace,
     state: State,
-    paused: Millis,
+    backoff_until: Millis,
     failures: u32,
     rng: SmallRng,
 }
 
 impl Follow {
-    /// Nothing was read yet; pauses are drawn by `seed`.
+    /// Creates a schedule without data; `seed` is the seed of the random backoff.
     pub fn new(seed: u64, pace: Pace) -> Self {
         let rng = SmallRng::seed_from_u64(seed);
-        Self { pace, state: State::Away, paused: Millis::ZERO, failures: 0, rng }
+        Self { pace, state: State::Inactive, backoff_until: Millis::ZERO, failures: 0, rng }
     }
 
-    /// Calls that failed in a row.
+    /// Number of calls that failed in a row.
     pub fn failures(&self) -> u32 {
         self.failures
     }
 
-    /// Whether the store counts as lost.
+    /// Whether the store counts as unreachable.
     pub fn is_blind(&self) -> bool {
-        self.failures > SEEN
+        self.failures > TOLERATED_FAILURES
     }
 
-    /// What to do now.
+    /// The next step.
     pub fn next(&mut self, now: Millis, turn: Turn) -> Step {
-        if now < self.paused {
-            return Step::Pause(self.paused - now);
+        if now < self.backoff_until {
+            return Step::Pause(self.backoff_until - now);
         }
         match self.state {
-            // Until it is settled who watches, every VM that reads does: what changes in the first seconds of a
-            // process, as entries that come back after an outage, has no other way here.
+            // Until it is decided which VMs watch, each VM that has read the store does: changes in the first seconds
+            // of a process, such as entries that come back after an outage, reach it in no other way.
             State::Watching(_) if turn.relay == Some(false) => {
                 self.stop(now);
                 self.next(now, turn)
             }
-            State::Watching(from) => Step::Watch { from, wait: self.pace.wait },
-            State::Away if turn.relay == Some(true) || (!turn.known && now >= turn.due) => {
+            State::Watching(from) => Step::Watch { from, wait: self.pace.watch_wait },
+            State::Inactive if turn.relay == Some(true) || (!turn.known && now >= turn.due) => {
                 Step::List
             }
-            State::Away => Step::Idle(if turn.known { LOOK } else { LOOK_NEW }),
+            State::Inactive => {
+                Step::Idle(if turn.known { RANK_CHECK_INTERVAL_MS } else { LOOK_NEW })
+            }
         }
     }
 
-    /// The list was read as of a version; how many calls had failed before.
+    /// Records that the list was read as of a version. Returns the number of calls that had failed before.
     pub fn listed(&mut self, version: u64) -> u32 {
         self.state = State::Watching(version);
         std::mem::take(&mut self.failures)
     }
 
-    /// A watch answered with what changed up to a version.
-    pub fn watched(&mut self, now: Millis, version: u64, news: bool) {
+    /// Records that a watch was answered, up to a version, and whether it brought changes.
+    pub fn watched(&mut self, now: Millis, version: u64, changed: bool) {
         let State::Watching(from) = self.state else { return };
         self.state = State::Watching(from.max(version));
-        if news {
-            self.paused = now + self.pace.gather;
+        if changed {
+            self.backoff_until = now + self.pace.batch_delay;
         }
     }
 
-    /// A watch failed, or is left to another VM: the list is read anew at the next turn.
+    /// Stops watching, as a watch failed or another VM takes over. When this VM next has to read, it reads the list.
     pub fn stop(&mut self, now: Millis) {
-        self.state = State::Away;
-        self.pause(now, 0);
+        self.state = State::Inactive;
+        self.back_off(now, 0);
     }
 
-    /// The list could not be read; so many VMs of the domain are not answered either.
-    pub fn failed(&mut self, now: Millis, blind_near: usize) {
-        self.state = State::Away;
+    /// Records that the list could not be read, and how many VMs of the domain cannot reach the store either.
+    pub fn failed(&mut self, now: Millis, unreachable_near: usize) {
+        self.state = State::Inactive;
         self.failures += 1;
-        let least = if blind_near >= AWAY { AWAY_FAILURES } else { 0 };
-        self.pause(now, self.failures.max(least));
+        let least = if unreachable_near >= OUTAGE_VMS { OUTAGE_FAILURES } else { 0 };
+        self.back_off(now, self.failures.max(least));
     }
 
-    fn pause(&mut self, now: Millis, failures: u32) {
-        let most = PAUSE.scale(f64::from(1u32 << failures.min(6))).min(PAUSE_MOST);
-        self.paused = now + most.scale(self.rng.random_range(0.5..=1.0));
+    fn back_off(&mut self, now: Millis, failures: u32) {
+        let most = MIN_BACKOFF_MS.scale(f64::from(1u32 << failures.min(6))).min(MAX_BACKOFF_MS);
+        self.backoff_until = now + most.scale(self.rng.random_range(0.5..=1.0));
     }
 }
--- a/crates/tgw-spread/src/hop.rs
+++ b/crates/tgw-spread/src/hop.rs
@@ -1,4 +1,4 @@
-//! A send that one VM asks another to make, on connections that the other holds.
+//! Sends that one VM asks another to make, on connections that the other VM holds.
 
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
@@ -8,21 +8,21 @@
 /// Asks a VM to send a request to one upstream.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Request {
-    /// Told apart from other requests of the same VM by this.
+    /// Identifies the request among those of the same VM.
     pub number: u64,
     /// The identity of the upstream.
     pub upstream: Rc<str>,
     /// When its process started, in ms of Unix time.
     pub started: u64,
-    /// Send also if the upstream is doubted: there is no other left.
+    /// Whether to send even if the upstream is suspected, as no other one is left.
     pub insist: bool,
-    /// Charge it to the receiver's budget, as the sender's is used up.
+    /// Whether to charge the send to the receiver's budget, as the sender's is used up.
     pub lent: bool,
-    /// Records of the answer that this is a part of; zero where the reply is wanted whole.
+    /// Most records of the answer that the reply is a part of; zero if the whole reply is wanted.
     pub limit: u64,
     /// The least record that can be in that answer.
     pub floor: Option<[u8; 16]>,
-    /// Time left for its reply, in whole ms.
+    /// Time left for the reply, in whole ms.
     pub left: u64,
     /// The method.
     pub method: String,
@@ -32,18 +32,18 @@
     pub headers: Vec<(String, Vec<u8>)>,
     /// The body.
     pub body: Vec<u8>,
-    /// Tells which requests are the same: its caller is known only where it came in.
+    /// Fingerprint of the request; the receiver cannot compute it, as it does not know the caller.
     pub print: Fingerprint,
-    /// What the sender knows of upstreams that ended under it.
+    /// Rounds in which upstreams ended under the request, as the sender knows them.
     pub seen: Seen,
 }
 
-/// How such a send ended.
+/// The result of a [`Request`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Reply {
-    /// Of the request.
+    /// The number of the request.
     pub number: u64,
-    /// How.
+    /// How the send ended.
     pub outcome: Outcome,
 }
 
@@ -54,25 +54,25 @@
     Answered {
         /// Its status.
         status: u16,
-        /// The upstream's signature, if it bears one.
+        /// The upstream's signature, if there is one.
         seal: Option<Vec<u8>>,
-        /// The load that the upstream told with it.
+        /// The load that the upstream reported in the reply.
         load: Option<Load>,
         /// Its whole body.
         body: Vec<u8>,
     },
-    /// Not sent: the VM makes as many sends for others as it may.
+    /// Not sent: the VM has as many sends for other VMs in flight as it may.
     Full,
-    /// Not sent: the VM has no connection left to the upstream, or doubts it.
+    /// Not sent: the VM has no free connection to the upstream, or suspects it.
     Busy,
-    /// Not sent: the upstream is not known here, or no connection could be made.
+    /// Not sent: the VM does not know the upstream, or could not connect to it.
     Unsent,
     /// The upstream stated that it did not run the request.
     Declined,
-    /// Cut, spoiled, or too large for a packet: it may have run.
+    /// The reply was cut off, corrupted, or too large for a packet: the request may have run.
     Broken,
-    /// No reply in time: it may have run.
+    /// No reply in time: the request may have run.
     Silent,
-    /// The upstream's process ended: it may have run.
+    /// The upstream's process ended: the request may have run.
     Gone,
 }
--- a/crates/tgw-spread/src/lib.rs
+++ b/crates/tgw-spread/src/lib.rs
@@ -1,30 +1,30 @@
-//! Spreads the configuration and the list of upstreams among VMs, so that a few of each failure
-//! domain read them from the platform's store and all others learn of changes from their peers.
+//! Distributes the configuration, the list of upstreams and the evacuations among VMs: a few VMs of each
+//! failure domain read them from the platform's store, and all others receive changes from their peers.
 //!
-//! A [`Ledger`] keeps values with the version of their last change and tells what changed since a
+//! A [`VersionedMap`] keeps values with the version of their last change and computes the changes since a
 //! version. No I/O.
 
-/// Failure domains whose upstreams are to get nothing more.
+/// Evacuated failure domains, whose upstreams receive no further requests.
 pub mod evacuations;
-/// When a VM reads the store, watches it, or leaves it to another.
+/// When a VM lists the store, watches it, or leaves that to another VM.
 pub mod follow;
-/// A send that one VM asks another to make.
+/// Sends that one VM asks another to make.
 pub mod hop;
-/// Values with versions, and what changed since one.
-mod ledger;
-/// What VMs ask one another.
+/// Messages between VMs.
 pub mod message;
-/// Whether a VM that starts reads the store, and whom it asks before.
+/// When a VM that starts reads the store, and which VMs it asks before.
 pub mod start;
-/// The list of upstreams, and the fleet that is kept by it.
+/// The list of upstreams, and the fleet that follows it.
 pub mod upstreams;
-/// The configuration and the list of upstreams as this VM has them.
+/// Values with versions, and the changes since a version.
+mod versioned_map;
+/// The configuration, the list of upstreams and the evacuations as this VM has them.
 mod world;
 
 pub use evacuations::Evacuations;
 pub use follow::Follow;
-pub use ledger::{Applied, Delta, Ledger};
 pub use message::Message;
 pub use start::Start;
 pub use upstreams::Upstreams;
+pub use versioned_map::{Applied, Delta, VersionedMap};
 pub use world::World;
--- a/crates/tgw-spread/src/message.rs
+++ b/crates/tgw-spread/src/message.rs
@@ -1,4 +1,4 @@
-//! What VMs ask one another over TCP.
+//! Messages between VMs, over TCP and in packets.
 
 use crate::{Delta, evacuations, hop, start::Found, upstreams};
 use serde::{Deserialize, Serialize};
@@ -7,7 +7,7 @@
 use tgw_quarantine::message as quarantine;
 use tgw_route::{Limits, Route, Service};
 
-/// How far a VM is; zero for what it does not hold.
+/// The versions that a VM holds; zero for what it does not hold.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Versions {
     /// The version of its configuration.
@@ -19,7 +19,7 @@
 }
 
 impl Versions {
-    /// Whether it is further than `other` in anything.
+    /// Whether any of these versions is newer than that of `other`.
     pub fn is_beyond(self, other: Self) -> bool {
         self.config > other.config
             || self.upstreams > other.upstreams
@@ -27,79 +27,79 @@
     }
 }
 
-/// One message.
+/// A message over TCP.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Records of VMs, for comparison; not answered.
+    /// Records of VMs, for anti-entropy; not answered.
     Records(Vec<Record>),
-    /// Asks for what changed after these versions; answered by [`Message::News`].
+    /// Asks for changes after these versions; answered by [`Message::News`] or [`Message::Busy`].
     Ask {
-        /// How far the asker is.
+        /// The versions that the sender holds.
         held: Versions,
-        /// Where the asker can be asked once it was told.
+        /// The address at which the sender can be asked in turn once it has the state.
         listens: SocketAddr,
     },
-    /// What changed.
+    /// The changes.
     News(Box<News>),
-    /// Answers [`Message::Ask`] where as many others are being told as this VM tells at once: VMs that were
-    /// told just now.
+    /// Answers [`Message::Ask`] on a VM that already updates as many others as it may at once: VMs that it
+    /// has just updated.
     Busy(Vec<SocketAddr>),
 }
 
-/// One packet between VMs.
+/// A packet between VMs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Datagram {
     /// Membership.
     Member(Box<tgw_member::Packet>),
-    /// Upstreams that are late or slow.
+    /// Reports on overdue or slow upstreams.
     Late(Vec<Late>),
-    /// A send that the receiver is asked to make.
+    /// Asks the receiver to make a send.
     Hop(Box<hop::Request>),
-    /// How a send ended that the receiver asked for.
+    /// The result of a send that the receiver asked for.
     HopEnded(Box<hop::Reply>),
-    /// The receiver may end a send, by its number: nobody waits for it.
+    /// The receiver may cancel a send, by its number: its result is not needed any more.
     HopCancelled(u64),
-    /// Asks a VM how far it is; answered by [`Datagram::Found`].
+    /// Asks for the versions that the receiver holds; answered by [`Datagram::Found`].
     Seek,
-    /// How far the sender is.
+    /// The versions that the sender holds.
     Found(Found),
-    /// Upstreams that ended under requests, and requests that are held back.
+    /// Upstreams that ended under requests, and quarantined requests.
     Quarantine(quarantine::News),
 }
 
-/// An upstream that is late or slow.
+/// A report on an overdue or slow upstream.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Late {
     /// Its identity.
     pub upstream: std::rc::Rc<str>,
     /// When its process started, in ms of Unix time.
     pub started: u64,
-    /// A send to it is overdue now.
+    /// Whether a send to it is overdue now.
     pub overdue: bool,
-    /// The latency that is expected of it, in ms.
+    /// Its expected latency, in ms.
     pub expected: f32,
 }
 
-/// What changed, where the answering VM is further.
+/// The changes that the receiver lacks; `None` for a part in which the sender has nothing newer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct News {
     /// The configuration.
-    pub config: Option<ConfigNews>,
+    pub config: Option<ConfigUpdate>,
     /// The list of upstreams.
     pub upstreams: Option<upstreams::News>,
     /// The evacuated failure domains.
     pub evacuations: Option<evacuations::News>,
-    /// Requests that are held back, for a VM that starts.
+    /// Quarantined requests, for a VM that starts.
     pub held: Vec<quarantine::QuarantineState>,
 }
 
-/// What changed in the configuration.
+/// Changes of the configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ConfigNews {
+pub struct ConfigUpdate {
     /// Routes by name.
     pub routes: Delta<Route>,
     /// Services by name.
     pub services: Delta<Service>,
-    /// What callers may send.
+    /// Limits on what callers may send.
     pub limits: Limits,
 }
--- a/crates/tgw-spread/src/start.rs
+++ b/crates/tgw-spread/src/start.rs
@@ -1,109 +1,110 @@
-//! When a VM that starts reads the platform's store itself, and whom it asks before.
+//! When a VM that starts reads the platform's store itself, and which VMs it asks before.
 //!
-//! Calls to the store are to grow with failure domains, not with VMs. A VM that starts therefore asks those
-//! that others ask first, its seeds, how far they are, and is told by them. A seed reads the store unless others
-//! hold the state; any other VM does so only if none of those that it asked holds the state or is about to.
+//! The number of calls to the store must grow with failure domains, not with VMs. A VM that starts therefore first asks
+//! its seeds which versions they hold, and receives the state from them. A seed reads the store unless other VMs hold
+//! the state; any other VM reads it only if none of the VMs that it asked holds the state or is about to.
 //!
-//! Where all VMs start at once, seeds may come up last. A VM that hears nothing at first reads a
-//! copy that costs the store little and may be seconds old, and serves by that until it is told. No I/O.
+//! If all VMs start at once, the seeds may come up last. A VM that receives no answer at first reads a copy of the
+//! store, which costs the store little and may be seconds old, and serves from that until it receives the state.
+//! No I/O.
 
 use rand::{Rng, SeedableRng, rngs::SmallRng, seq::IndexedRandom};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use tgw_clock::Millis;
 
-/// First time in ms between two questions to the same VMs; doubles. A VM that starts with all others may ask
+/// First interval in ms between queries to the same VMs; doubles. A VM that starts with all others may send queries
 /// before those have bound their sockets.
-const SEEK: Millis = Millis::new(50);
-/// Longest time in ms between two questions.
-const SEEK_MOST: Millis = Millis::new(400);
-/// VMs that are asked at a time: as many seeds as the platform names.
-const SEEK_AT: usize = 3;
-/// Time in ms without word of a VM that holds the state after which a VM reads a copy of the store, and a seed
-/// the store itself: above the longest way there and back (40 ms).
-const COPY: Millis = Millis::new(60);
-/// Time in ms after which a VM reads a copy though another VM holds the state: that one is slow to tell it.
-const SLOW: Millis = Millis::new(250);
-/// Time in ms without any answer after which a VM reads the store: all VMs start within 0.3 s, the seeds
-/// perhaps last, and as long again is left for an answer of theirs.
-const ALONE: Millis = Millis::new(600);
-/// The same where the whole fleet starts for the first time: no caller waits yet.
-const ALONE_FIRST: Millis = Millis::new(1_500);
-/// Readings of VMs that heard nothing are spread over this time in ms.
-const SPREAD: Millis = Millis::new(400);
-/// Time in ms for which a VM counts on another that said that it reads the store: two questions, of which one
-/// may be lost, or the VM may have died.
-const PROMISE: Millis = Millis::new(900);
-/// Time in ms after which a VM that was told nothing reads the store whatever readers say: these may see less
-/// of it than this VM would. A first configuration may be written seconds after all VMs started.
-const PATIENCE: Millis = Millis::new(10_000);
-/// Time in ms after which a VM reads the store though another holds the state: telling 300 VMs, four at a
-/// time each, takes under a second, and the holder may be slow or paused.
-const TOLD: Millis = Millis::new(1_500);
-/// Time in ms before a VM that found nothing in the store looks again; doubles.
-const EMPTY: Millis = Millis::new(2_000);
-/// Longest such time in ms.
-const EMPTY_MOST: Millis = Millis::new(8_000);
-/// Time in ms after which another VM is asked for the state, while one has not answered yet.
-const ASK: Millis = Millis::new(300);
+const QUERY_INTERVAL_MS: Millis = Millis::new(50);
+/// Longest interval in ms between queries.
+const MAX_QUERY_INTERVAL_MS: Millis = Millis::new(400);
+/// VMs that are queried at a time: as many as the platform names seeds.
+const QUERY_FANOUT: usize = 3;
+/// Time in ms after which, if no VM that holds the state was found, a VM reads a copy of the store and a seed the store
+/// itself: above the longest round trip (40 ms).
+const COPY_TIMEOUT_MS: Millis = Millis::new(60);
+/// Time in ms after which a VM reads a copy although another VM holds the state, as that one is slow to send it.
+const SLOW_HOLDER_TIMEOUT_MS: Millis = Millis::new(250);
+/// Time in ms without any answer after which a VM reads the store: all VMs start within 0.3 s, the seeds perhaps last,
+/// and the seeds have as long again to answer.
+const NO_ANSWER_TIMEOUT_MS: Millis = Millis::new(600);
+/// The same timeout in ms if the whole fleet starts for the first time, when no caller waits yet.
+const FIRST_START_TIMEOUT_MS: Millis = Millis::new(1_500);
+/// Range in ms of the random delay that spreads the reads of VMs without an answer.
+const READ_JITTER_MS: Millis = Millis::new(400);
+/// Time in ms for which a VM relies on another's last answer that it reads the store: two queries, of which one may be
+/// lost. After that the other VM may have died.
+const READER_TIMEOUT_MS: Millis = Millis::new(900);
+/// Time in ms after which a VM without the state reads the store even if others say that they read it: they may see
+/// less of the store than this VM would. A first configuration may be written seconds after all VMs started.
+const MAX_READER_WAIT_MS: Millis = Millis::new(10_000);
+/// Time in ms after which a VM reads the store although another VM holds the state: sending the state to 300 VMs, four
+/// at a time from each VM, takes under a second, and the holder may be slow or paused.
+const HOLDER_TIMEOUT_MS: Millis = Millis::new(1_500);
+/// First backoff in ms of a VM that found nothing in the store, or was refused; doubles.
+const READ_BACKOFF_MS: Millis = Millis::new(2_000);
+/// Longest such backoff in ms.
+const MAX_READ_BACKOFF_MS: Millis = Millis::new(8_000);
+/// Time in ms after which another VM is asked for the state if the first one has not answered.
+const ASK_TIMEOUT_MS: Millis = Millis::new(300);
 
 /// How long a VM waits for others.
 #[derive(Copy, Clone, Debug, PartialEq)]
 pub struct Waits {
-    /// Until it reads a copy of the store, or as a seed the store itself.
+    /// Time until it reads a copy of the store or, as a seed, the store itself.
     pub copy: Millis,
-    /// Until it reads the store, where the fleet does not start for the first time.
+    /// Time until it reads the store, unless the fleet starts for the first time.
     pub alone: Millis,
 }
 
 impl Default for Waits {
     fn default() -> Self {
-        Self { copy: COPY, alone: ALONE }
+        Self { copy: COPY_TIMEOUT_MS, alone: NO_ANSWER_TIMEOUT_MS }
     }
 }
 
-/// How a VM begins.
+/// Options of a VM's start.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// This VM is among those that others ask first.
+    /// Whether this VM is a seed, which others ask first.
     pub seed: bool,
-    /// The whole fleet starts for the first time.
+    /// Whether the whole fleet starts for the first time.
     pub first: bool,
-    /// Whom it asks first; some may be down, or not there any more.
+    /// The seeds; some may be down or removed.
     pub seeds: Vec<SocketAddr>,
-    /// How long it waits for others.
+    /// How long this VM waits for others.
     pub waits: Waits,
-    /// Seed of the choices made at random.
+    /// Seed of the random choices.
     pub random: u64,
 }
 
-/// How far a VM is.
+/// The versions that a VM holds, and whether it reads the store.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Found {
     /// The version of its configuration; zero for none.
     pub config: u64,
     /// The version of its list of upstreams; zero for none.
     pub upstreams: u64,
-    /// It reads the platform's store, and was not refused.
+    /// Whether it reads the platform's store and was not refused.
     pub reads: bool,
 }
 
 impl Found {
-    fn is_beyond(self, other: Self) -> bool {
+    fn is_ahead_of(self, other: Self) -> bool {
         self.config > other.config || self.upstreams > other.upstreams
     }
 }
 
-/// What this VM is told.
+/// An event for the VM that starts.
 #[derive(Copy, Clone, Debug)]
 pub enum Event<'a> {
     /// Time has passed.
     Tick,
     /// These VMs may be asked.
     Peers(&'a [SocketAddr]),
-    /// A VM has answered how far it is.
+    /// A VM has answered a query.
     Found(SocketAddr, Found),
-    /// A VM tells others just now; these hold what it holds.
+    /// A VM is busy updating others; these VMs hold what it holds.
     Busy(&'a [SocketAddr]),
     /// A VM that was asked for the state has answered, or cannot be asked.
     Answered,
@@ -120,10 +121,10 @@
     Refused,
 }
 
-/// What must be done.
+/// A message to send.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Ask a VM how far it is.
+    /// Query the versions that a VM holds.
     Seek(SocketAddr),
     /// Ask a VM for the state.
     Ask(SocketAddr),
@@ -134,72 +135,77 @@
 pub struct Start {
     seeds: Vec<SocketAddr>,
     peers: Vec<SocketAddr>,
-    began: Millis,
-    /// When it reads the store if nobody promises to.
+    started_at: Millis,
+    /// When this VM reads the store unless another VM reads it or holds the state.
     read_at: Millis,
-    /// When it reads a copy of the store if nobody holds the state.
+    /// When this VM reads a copy of the store unless another VM holds the state.
     copy_at: Option<Millis>,
-    seed: bool,
-    /// Another VM has answered.
-    heard: bool,
-    empty: Millis,
-    promised: Option<Millis>,
-    /// When a VM was found first that holds what this one lacks.
-    held: Option<Millis>,
-    seek_at: Millis,
-    gap: Millis,
-    asked: Option<Millis>,
-    holds: Found,
+    is_seed: bool,
+    /// Whether any VM has answered.
+    answered: bool,
+    read_backoff: Millis,
+    /// When a VM last answered that it reads the store or holds newer versions.
+    reader_seen: Option<Millis>,
+    /// When a VM with newer versions was first found.
+    holder_found: Option<Millis>,
+    query_at: Millis,
+    query_interval: Millis,
+    asked_at: Option<Millis>,
+    own: Found,
     rng: SmallRng,
 }
 
 impl Start {
-    /// A VM that starts at `now` and knows nothing.
+    /// Creates the start of a VM without state at `now`.
     pub fn new(now: Millis, options: Options) -> Self {
         let mut rng = SmallRng::seed_from_u64(options.random);
         let Options { seed, first, waits, .. } = options;
-        let draw = SPREAD.scale(rng.random_range(0.0..1.0));
+        let jitter = READ_JITTER_MS.scale(rng.random_range(0.0..1.0));
         let wait = match (seed, first) {
             (true, true) => Millis::ZERO,
             (true, false) => waits.copy,
-            (false, true) => ALONE_FIRST + draw,
-            (false, false) => waits.alone + draw,
+            (false, true) => FIRST_START_TIMEOUT_MS + jitter,
+            (false, false) => waits.alone + jitter,
         };
         let copies = !seed && !first;
         Self {
             seeds: options.seeds,
             peers: Vec::new(),
-            began: now,
+            started_at: now,
             read_at: now + wait,
             copy_at: copies.then_some(now + waits.copy),
-            seed,
-            heard: false,
-            empty: EMPTY,
-            promised: None,
-            held: None,
-            seek_at: now,
-            gap: SEEK,
-            asked: None,
-            holds: Found::default(),
+            is_seed: seed,
+            answered: false,
+            read_backoff: READ_BACKOFF_MS,
+            reader_seen: None,
+            holder_found: None,
+            query_at: now,
+            query_interval: QUERY_INTERVAL_MS,
+            asked_at: None,
+            own: Found::default(),
             rng,
         }
     }
 
-    /// Whether this VM holds a configuration and a list of upstreams: its start is over.
+    /// Whether the start is over: this VM holds a configuration and a list of upstreams.
     pub fn is_over(&self) -> bool {
-        self.holds.config > 0 && self.holds.upstreams > 0
+        self.own.config > 0 && self.own.upstreams > 0
     }
 
-    /// When this VM is to read the store itself, as long as it was told nothing.
+    /// When this VM has to read the store itself if it has not received the state.
     pub fn due(&self) -> Millis {
-        let promised = self.promised.map_or(Millis::ZERO, |at| at + PROMISE);
-        let latest = self.held.map_or(self.began + PATIENCE, |at| at + TOLD);
-        self.read_at.max(promised.min(latest))
+        let reader_until = self.reader_seen.map_or(Millis::ZERO, |at| at + READER_TIMEOUT_MS);
+        let latest = self
+            .holder_found
+            .map_or(self.started_at + MAX_READER_WAIT_MS, |at| at + HOLDER_TIMEOUT_MS);
+        self.read_at.max(reader_until.min(latest))
     }
 
-    /// Whether this VM is to read a copy of the store now; true once at most.
+    /// Whether this VM has to read a copy of the store now; true once at most.
     pub fn reads_copy(&mut self, now: Millis) -> bool {
-        let due = self.copy_at.is_some_and(|at| now >= at.max(self.held.map_or(at, |h| h + SLOW)));
+        let due = self.copy_at.is_some_and(|at| {
+            now >= at.max(self.holder_found.map_or(at, |h| h + SLOW_HOLDER_TIMEOUT_MS))
+        });
         let reads = due && !self.is_over();
         if reads {
             self.copy_at = None;
@@ -207,70 +213,71 @@
         reads
     }
 
-    /// Handles one event at `now` and appends what must be done.
+    /// Handles one event at `now` and appends the resulting actions.
     pub fn on(&mut self, now: Millis, event: Event<'_>, out: &mut Vec<Action>) {
         match event {
-            Event::Tick => self.seek(now, out),
+            Event::Tick => self.query(now, out),
             Event::Peers(peers) => self.peers = peers.to_vec(),
             Event::Found(from, found) => self.found(now, from, found, out),
             Event::Busy(others) => {
-                self.asked = None;
+                self.asked_at = None;
                 let other = others.choose(&mut self.rng).copied();
                 self.ask(now, other, out);
             }
-            Event::Answered => self.asked = None,
+            Event::Answered => self.asked_at = None,
             Event::Holds { config, upstreams } => {
-                self.holds = Found { config, upstreams, ..self.holds };
+                self.own = Found { config, upstreams, ..self.own };
             }
-            Event::Empty => self.put_off(now),
-            // An outage of the store is not to be answered by all VMs that wait for its end: seeds go on
-            // trying, and tell the others. 300 VMs made 2,700 calls in two seconds of it, with this 1,240.
-            Event::Refused if self.heard && !self.seed => self.put_off(now),
+            Event::Empty => self.back_off(now),
+            // During an outage of the store not all VMs may retry: the seeds do, and update the others. Without this
+            // backoff 300 VMs made 2,700 calls in two seconds of an outage, with it 1,240.
+            Event::Refused if self.answered && !self.is_seed => self.back_off(now),
             Event::Refused => {}
         }
     }
 
-    /// Reads the store later, and later again the next time.
-    fn put_off(&mut self, now: Millis) {
-        self.read_at = now + self.empty.scale(self.rng.random_range(0.5..1.0));
-        self.empty = (self.empty + self.empty).min(EMPTY_MOST);
+    /// Delays the next read of the store, each time for longer.
+    fn back_off(&mut self, now: Millis) {
+        self.read_at = now + self.read_backoff.scale(self.rng.random_range(0.5..1.0));
+        self.read_backoff = (self.read_backoff + self.read_backoff).min(MAX_READ_BACKOFF_MS);
     }
 
     fn found(&mut self, now: Millis, from: SocketAddr, found: Found, out: &mut Vec<Action>) {
-        self.heard = true;
-        if found.is_beyond(self.holds) {
-            self.held.get_or_insert(now);
+        self.answered = true;
+        if found.is_ahead_of(self.own) {
+            self.holder_found.get_or_insert(now);
             self.ask(now, Some(from), out);
         }
-        // A VM that holds the state may be asked; one that neither holds nor reads it, as the store turns it
-        // away, promises nothing: who counted on it would wait for as long as the store does so.
-        if found.reads || found.is_beyond(self.holds) {
-            self.promised = Some(now);
+        // A VM that holds the state can be asked for it. One that neither holds nor reads it, as the store rejects it,
+        // is not waited for: the wait would last for as long as the store rejects that VM.
+        if found.reads || found.is_ahead_of(self.own) {
+            self.reader_seen = Some(now);
         }
     }
 
-    fn ask(&mut self, now: Millis, whom: Option<SocketAddr>, out: &mut Vec<Action>) {
-        let waits = self.asked.is_some_and(|at| now - at < ASK);
-        if let Some(whom) = whom.filter(|_| !waits && !self.is_over()) {
-            self.asked = Some(now);
-            out.push(Action::Ask(whom));
+    fn ask(&mut self, now: Millis, peer: Option<SocketAddr>, out: &mut Vec<Action>) {
+        let waits = self.asked_at.is_some_and(|at| now - at < ASK_TIMEOUT_MS);
+        if let Some(peer) = peer.filter(|_| !waits && !self.is_over()) {
+            self.asked_at = Some(now);
+            out.push(Action::Ask(peer));
         }
     }
 
-    fn seek(&mut self, now: Millis, out: &mut Vec<Action>) {
-        if now < self.seek_at || self.is_over() {
+    fn query(&mut self, now: Millis, out: &mut Vec<Action>) {
+        if now < self.query_at || self.is_over() {
             return;
         }
-        self.seek_at = now + self.gap;
-        self.gap = (self.gap + self.gap).min(SEEK_MOST);
-        // Seeds first: the VMs that are known besides are likely to know as little.
-        let more = SEEK_AT.saturating_sub(self.seeds.len().min(SEEK_AT));
-        let seeds = self.seeds.choose_multiple(&mut self.rng, SEEK_AT).copied();
-        let mut asked: Vec<SocketAddr> = seeds.collect();
+        self.query_at = now + self.query_interval;
+        self.query_interval =
+            (self.query_interval + self.query_interval).min(MAX_QUERY_INTERVAL_MS);
+        // Seeds first: other known VMs are likely to have as little state as this one.
+        let more = QUERY_FANOUT.saturating_sub(self.seeds.len().min(QUERY_FANOUT));
+        let seeds = self.seeds.choose_multiple(&mut self.rng, QUERY_FANOUT).copied();
+        let mut targets: Vec<SocketAddr> = seeds.collect();
         let peers = self.peers.choose_multiple(&mut self.rng, more.max(1)).copied();
-        asked.extend(peers);
-        asked.sort_unstable();
-        asked.dedup();
-        out.extend(asked.into_iter().map(Action::Seek));
+        targets.extend(peers);
+        targets.sort_unstable();
+        targets.dedup();
+        out.extend(targets.into_iter().map(Action::Seek));
     }
 }
--- a/crates/tgw-spread/src/upstreams.rs
+++ b/crates/tgw-spread/src/upstreams.rs
@@ -1,4 +1,4 @@
-use crate::{Delta, Ledger, ledger::Applied};
+use crate::{Delta, VersionedMap, versioned_map::Applied};
 use serde::{Deserialize, Serialize};
 use std::{collections::HashSet, rc::Rc};
 use tgw_clock::Millis;
@@ -10,99 +10,100 @@
 
 /// The list of upstreams as this VM has it, from the store and from other VMs, and the fleet that follows it.
 ///
-/// The list is what the store says, also where an upstream is kept though its entry is missing: a VM that held back
-/// what it knows, or claimed to know less, would keep others from learning what changed meanwhile.
+/// The list is the store's, even where an upstream is retained although its entry is missing. If a VM withheld changes
+/// or reported an older version for that reason, other VMs would not learn of changes in the meantime.
 #[derive(Debug, Default)]
 pub struct Upstreams {
-    ledger: Ledger<Entry>,
+    entries: VersionedMap<Entry>,
     catalog: Catalog,
-    /// The entries of upstreams that are kept, as they were.
-    lapsed: Vec<Entry>,
+    /// The last entries of retained upstreams.
+    retained: Vec<Entry>,
 }
 
-/// An upstream whose entry is missing and may have lapsed while the store was away.
+/// A retained upstream: its entry is missing, and may have expired while the store was down.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Lapsed {
-    /// Its entry as it was.
+pub struct Retained {
+    /// Its last entry.
     pub entry: Entry,
-    /// How much longer it is kept, in whole ms.
+    /// How much longer it is retained, in whole ms.
     pub left: u64,
 }
 
-/// What another VM tells of upstreams.
+/// An update of the list from another VM.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct News {
-    /// What changed.
+    /// The changes.
     pub delta: Delta<Entry>,
-    /// Those of the removed upstreams that are kept for a while.
-    pub lapsed: Vec<Lapsed>,
+    /// The removed upstreams that the sender retains.
+    pub lapsed: Vec<Retained>,
 }
 
 impl Upstreams {
-    /// Nothing is known yet; upstreams write their entries each `heartbeat`, if that is known.
+    /// Creates an empty list. Upstreams write their entries once per `heartbeat`, if that is known.
     pub fn new(heartbeat: Option<Millis>) -> Self {
         Self { catalog: Catalog::new(heartbeat), ..Self::default() }
     }
 
     /// The version of the list.
     pub fn version(&self) -> u64 {
-        self.ledger.version()
+        self.entries.version()
     }
 
     /// The entry of an identity.
     pub fn get(&self, id: &str) -> Option<&Entry> {
-        self.ledger.get(id)
+        self.entries.get(id)
     }
 
-    /// What changed after `version`; `None` if this VM is no further.
+    /// The changes after `version`; `None` if this VM has nothing newer.
     pub fn since(&self, now: Millis, version: u64) -> Option<News> {
         if version >= self.version() {
             return None;
         }
-        let delta = self.ledger.since(version);
-        let told = |id: &Rc<str>| {
+        let delta = self.entries.since(version);
+        let covered = |id: &Rc<str>| {
             delta.from.is_none() || delta.removed.iter().any(|(removed, _)| removed == id)
         };
-        let lapsed = self.lapsed.iter().filter(|entry| told(&entry.id)).filter_map(|entry| {
-            let left = (self.catalog.doubted(&entry.id)?.until - now).whole();
-            (left > 0).then(|| Lapsed { entry: entry.clone(), left })
-        });
-        let lapsed = lapsed.collect();
-        Some(News { delta, lapsed })
+        let retained =
+            self.retained.iter().filter(|entry| covered(&entry.id)).filter_map(|entry| {
+                let left = (self.catalog.doubted(&entry.id)?.until - now).whole();
+                (left > 0).then(|| Retained { entry: entry.clone(), left })
+            });
+        let retained = retained.collect();
+        Some(News { delta, lapsed: retained })
     }
 
-    /// Whether an upstream is kept though its entry is missing.
+    /// Since when and until when an upstream is retained although its entry is missing, if it is.
     pub fn doubted(&self, id: &str) -> Option<Doubt> {
         self.catalog.doubted(id)
     }
 
-    /// Takes what became of upstreams whose entries are missing since the last call.
+    /// Takes the changes since the last call of upstreams whose entries are or were missing.
     pub fn take_changes(&mut self) -> Vec<Change> {
         self.catalog.take_changes()
     }
 
-    /// The store has not answered this VM, or those that this VM takes over from.
+    /// Records that the store did not answer this VM, or those that this VM takes over from.
     pub fn lost(&mut self, now: Millis) {
         self.catalog.lost(now);
     }
 
-    /// The store has answered this VM, whether or not anything changed.
+    /// Records that the store answered this VM, whether or not anything changed.
     pub fn answered(&mut self, now: Millis) {
         self.catalog.answered(now);
     }
 
-    /// This VM stood still for so long.
+    /// Records that this VM was paused for `gap`.
     pub fn paused(&mut self, gap: Millis) {
         self.catalog.paused(gap);
     }
 
-    /// The store has answered a probe of this VM.
+    /// Records that the store answered a probe of this VM.
     pub fn probed(&mut self, now: Millis) {
         self.catalog.heard(now);
     }
 
-    /// The store was read as of `version`: its entries, each with its own version, and the identities of those that
-    /// nobody can read.
+    /// Applies a list of the store as of `version`: its entries, each with its own version, and the identities of
+    /// unreadable ones.
     pub fn listed(
         &mut self,
         now: Millis,
@@ -112,50 +113,50 @@
         fleet: &mut Fleet,
     ) {
         let values = entries.into_iter().map(|(v, e)| (e.id.clone(), v, self.latest(e))).collect();
-        self.ledger.replace(version, values);
-        let entries = self.ledger.values().map(|(_, entry)| entry.clone()).collect();
+        self.entries.replace(version, values);
+        let entries = self.entries.values().map(|(_, entry)| entry.clone()).collect();
         self.catalog.listed(now, entries, unreadable, fleet);
-        self.keep(fleet);
+        self.refresh_retained(fleet);
     }
 
-    /// A copy of the store was read, which may be out of date: nothing is claimed of it.
+    /// Applies a copy of the store. The list does not change, as the copy may be out of date.
     pub fn copied(&mut self, now: Millis, entries: Vec<Entry>, fleet: &mut Fleet) {
         for entry in entries {
             self.catalog.changed(now, entry, fleet);
         }
     }
 
-    /// The store tells that an entry was written at `version`.
+    /// Applies an entry from the store that was written at `version`.
     pub fn written(&mut self, now: Millis, version: u64, entry: Entry, fleet: &mut Fleet) {
         let entry = self.latest(entry);
-        // Word of a peer may be newer than what the store told this VM late: the fleet follows the ledger alone, or an
-        // upstream that has left would be back.
-        if self.ledger.put(version, entry.id.clone(), entry.clone()) {
+        // A peer's update may be newer than this late report of the store. The fleet changes only if the list does, or
+        // an upstream that has left would come back.
+        if self.entries.put(version, entry.id.clone(), entry.clone()) {
             self.catalog.changed(now, entry, fleet);
         }
     }
 
-    /// The store tells, as of `version`, that an entry was removed at `revision`.
+    /// Applies a removal at `revision`, which the store reports as of `version`.
     pub fn removed(&mut self, version: u64, revision: u64, id: &Rc<str>, fleet: &mut Fleet) {
-        // The entry may have been written again since, before `version`.
-        let newer = revision > self.ledger.written(id);
-        if self.ledger.remove(if newer { revision } else { version }, id) {
+        // The entry may have been written again after the removal, before `version`.
+        let newer = revision > self.entries.written_version(id);
+        if self.entries.remove(if newer { revision } else { version }, id) {
             self.catalog.removed(id, fleet);
         }
     }
 
-    /// The store tells that an entry cannot be read any more, as of `version`.
+    /// Applies the store's report that an entry has become unreadable, as of `version`.
     pub fn unreadable(&mut self, version: u64, id: &Rc<str>, fleet: &mut Fleet) {
-        self.ledger.remove(version, id);
+        self.entries.remove(version, id);
         self.catalog.unreadable(id, fleet);
     }
 
-    /// Another VM tells what changed; what took effect. Where a copy of the store was used until now, only what is
-    /// told now stays.
+    /// Applies another VM's update; returns the changes that took effect. If a copy of the store was used until now
+    /// (`copied`), an update that holds all values replaces it.
     pub fn told(
         &mut self,
         now: Millis,
-        News { mut delta, lapsed }: News,
+        News { mut delta, lapsed: retained }: News,
         copied: bool,
         fleet: &mut Fleet,
     ) -> Applied<Entry> {
@@ -167,10 +168,10 @@
             *entry = self.latest(entry.clone());
         }
         let whole = delta.from.is_none();
-        let applied = self.ledger.apply(delta);
+        let applied = self.entries.apply(delta);
         for id in &applied.removed {
-            let kept = lapsed.iter().find(|l| l.entry.id == *id);
-            match kept.map(|l| Millis::new(l.left)) {
+            let retained = retained.iter().find(|r| r.entry.id == *id);
+            match retained.map(|r| Millis::new(r.left)) {
                 Some(left) => self.catalog.lapsed(now, id, left, fleet),
                 None => self.catalog.removed(id, fleet),
             }
@@ -179,20 +180,20 @@
             self.catalog.changed(now, entry.clone(), fleet);
         }
         if whole && copied {
-            self.drop_untold(fleet);
+            self.drop_unlisted(fleet);
         }
         if starts {
-            self.take_lapsed(now, &lapsed, fleet);
+            self.adopt_retained(now, &retained, fleet);
         }
-        self.keep(fleet);
+        self.refresh_retained(fleet);
         applied
     }
 
-    /// A VM that starts has none of the upstreams that are kept, and would find too few. One that does not start has
-    /// heard of their removal, and did what was due.
-    fn take_lapsed(&mut self, now: Millis, lapsed: &[Lapsed], fleet: &mut Fleet) {
-        for Lapsed { entry, left } in lapsed {
-            let unknown = fleet.key(&entry.id).is_none() && self.ledger.get(&entry.id).is_none();
+    /// Adopts the sender's retained upstreams on a VM that starts, which would otherwise have too few. A VM that does
+    /// not start received their removal and has handled it already.
+    fn adopt_retained(&mut self, now: Millis, retained: &[Retained], fleet: &mut Fleet) {
+        for Retained { entry, left } in retained {
+            let unknown = fleet.key(&entry.id).is_none() && self.entries.get(&entry.id).is_none();
             if unknown && !entry.draining {
                 fleet.put(now, entry.clone());
                 self.catalog.lapsed(now, &entry.id, Millis::new(*left), fleet);
@@ -200,33 +201,33 @@
         }
     }
 
-    /// Gives up the upstreams whose entries stayed missing; whether there were any.
+    /// Drops the retained upstreams whose entries did not come back in time; returns whether there were any.
     pub fn tick(&mut self, now: Millis, fleet: &mut Fleet) -> bool {
-        let gone = !self.catalog.tick(now, fleet).is_empty();
-        if gone {
-            self.keep(fleet);
+        let dropped = !self.catalog.tick(now, fleet).is_empty();
+        if dropped {
+            self.refresh_retained(fleet);
         }
-        gone
+        dropped
     }
 
-    /// Drops what a copy of the store named and nobody told: it may have left since.
-    fn drop_untold(&mut self, fleet: &mut Fleet) {
-        let untold = fleet.ids().filter(|id| self.ledger.get(id).is_none());
-        let untold: Vec<Rc<str>> = untold.cloned().collect();
-        untold.iter().for_each(|id| self.catalog.removed(id, fleet));
+    /// Drops upstreams that only a copy of the store contained: they may have left since.
+    fn drop_unlisted(&mut self, fleet: &mut Fleet) {
+        let unlisted = fleet.ids().filter(|id| self.entries.get(id).is_none());
+        let unlisted: Vec<Rc<str>> = unlisted.cloned().collect();
+        unlisted.iter().for_each(|id| self.catalog.removed(id, fleet));
     }
 
-    /// Keeps the entries of upstreams that are in doubt, for VMs that ask.
-    fn keep(&mut self, fleet: &Fleet) {
-        let doubted: HashSet<&Rc<str>> = self.catalog.doubts().map(|(id, _)| id).collect();
+    /// Updates the entries of retained upstreams, for VMs that ask.
+    fn refresh_retained(&mut self, fleet: &Fleet) {
+        let retained: HashSet<&Rc<str>> = self.catalog.doubts().map(|(id, _)| id).collect();
         let entry = |id: &&Rc<str>| Some(fleet.get(fleet.key(id)?)?.entry.clone());
-        self.lapsed = doubted.iter().filter_map(entry).collect();
+        self.retained = retained.iter().filter_map(entry).collect();
     }
 
-    /// The entry, or the one that is known of a later process with its identity. What an earlier process wrote can
-    /// reach the store, or this VM through a peer, after the first word of the later one.
+    /// The entry, or the known one if that is of a later process with the same identity. A write of an earlier process
+    /// can reach the store, or this VM through a peer, after the first write of the later one.
     fn latest(&self, entry: Entry) -> Entry {
-        let known = self.ledger.get(&entry.id);
+        let known = self.entries.get(&entry.id);
         known.filter(|known| entry.precedes(known)).cloned().unwrap_or(entry)
     }
 }
--- a/crates/tgw-spread/src/ledger.rs
+++ b/crates/tgw-spread/src/versioned_map.rs
@@ -4,33 +4,33 @@
     rc::Rc,
 };
 
-/// Removals that are remembered; a VM that is further behind gets everything.
-const REMOVALS: usize = 4_096;
+/// Most removals that are remembered; a VM that is further behind receives all values.
+const MAX_REMOVALS: usize = 4_096;
 
-/// Gaps that are told apart; the two oldest become one beyond that.
-const GAPS: usize = 8;
+/// Most gaps that are kept apart; beyond that the two oldest are merged.
+const MAX_GAPS: usize = 8;
 
 /// Values by name, each with the version of its last change.
 ///
-/// Versions come from the platform's store and rise with each change. Two VMs that are at one
-/// version hold the same values.
+/// Versions come from the platform's store and rise with each change. Two VMs at the same version hold the same
+/// values.
 #[derive(Clone, Debug)]
-pub struct Ledger<T> {
+pub struct VersionedMap<T> {
     version: u64,
-    /// Up to this version the store itself told everything.
-    complete: u64,
-    /// Removals up to this version may be forgotten.
-    floor: u64,
-    /// Removals between these versions may be unknown: the store was read anew, not followed.
+    /// Up to this version all changes are known from the store itself.
+    store_version: u64,
+    /// Removals up to this version may be unknown or forgotten.
+    history_start: u64,
+    /// Version ranges in which removals may be unknown, as the store was listed again instead of watched.
     gaps: Vec<(u64, u64)>,
     values: BTreeMap<Rc<str>, (u64, T)>,
     removed: BTreeMap<Rc<str>, u64>,
 }
 
-/// What changed after a version.
+/// The changes after a version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta<T> {
-    /// The version that it starts from; `None` for everything.
+    /// The version that it starts from; `None` if it holds all values.
     pub from: Option<u64>,
     /// The version that it leads to.
     pub to: u64,
@@ -38,16 +38,16 @@
     pub changed: Vec<(Rc<str>, u64, T)>,
     /// Names that were removed, with the version of the removal.
     pub removed: Vec<(Rc<str>, u64)>,
-    /// Removals between these versions may be unknown to who tells it.
+    /// Version ranges in which removals may be unknown to the sender.
     pub gaps: Vec<(u64, u64)>,
 }
 
-/// What took effect of a delta.
+/// The changes of a delta that took effect.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Applied<T> {
-    /// Values as they are now.
+    /// The new values.
     pub changed: Vec<T>,
-    /// Names that are gone.
+    /// The names that were removed.
     pub removed: Vec<Rc<str>>,
 }
 
@@ -57,14 +57,14 @@
     }
 }
 
-impl<T> Default for Ledger<T> {
+impl<T> Default for VersionedMap<T> {
     fn default() -> Self {
         let (values, removed) = (BTreeMap::new(), BTreeMap::new());
-        Self { version: 0, complete: 0, floor: 0, gaps: Vec::new(), values, removed }
+        Self { version: 0, store_version: 0, history_start: 0, gaps: Vec::new(), values, removed }
     }
 }
 
-impl<T: Clone + PartialEq> Ledger<T> {
+impl<T: Clone + PartialEq> VersionedMap<T> {
     /// The version of the last change.
     pub fn version(&self) -> u64 {
         self.version
@@ -80,55 +80,55 @@
         self.values.get(name).map(|(_, value)| value)
     }
 
-    /// Up to this version the store itself told everything.
-    pub fn complete(&self) -> u64 {
-        self.complete
+    /// The version up to which all changes are known from the store itself.
+    pub fn store_version(&self) -> u64 {
+        self.store_version
     }
 
     /// The version at which the value of a name was written; zero if there is none.
-    pub fn written(&self, name: &str) -> u64 {
+    pub fn written_version(&self, name: &str) -> u64 {
         self.values.get(name).map_or(0, |(version, _)| *version)
     }
 
-    /// Takes over everything that the store holds as of `complete`, each value with its version.
-    pub fn replace(&mut self, complete: u64, values: Vec<(Rc<str>, u64, T)>) {
+    /// Replaces all values by those of the store as of `store_version`, each with its version.
+    pub fn replace(&mut self, store_version: u64, values: Vec<(Rc<str>, u64, T)>) {
         let names: BTreeSet<Rc<str>> = values.iter().map(|v| v.0.clone()).collect();
         let missing = self.values.keys().filter(|n| !names.contains(*n));
         let gone: Vec<Rc<str>> = missing.cloned().collect();
         if self.version == 0 {
-            self.begin(complete);
+            self.start_history_at(store_version);
         } else {
-            self.skip(self.version, complete);
+            self.add_gap(self.version, store_version);
         }
         for name in gone {
-            self.remove(complete, &name);
+            self.remove(store_version, &name);
         }
         for (name, version, value) in values {
             self.put(version, name, value);
         }
-        self.complete = self.complete.max(complete);
+        self.store_version = self.store_version.max(store_version);
     }
 
-    /// Says that what came and went between two versions is not known.
-    pub(crate) fn skip(&mut self, from: u64, to: u64) {
-        // A VM at a version between two readings of the store may hold such a name, and would keep it for
-        // good if it were told only what changed since.
+    /// Marks a version range in which values may have been written and removed without being seen here.
+    pub(crate) fn add_gap(&mut self, from: u64, to: u64) {
+        // A VM whose version lies between two lists of the store may hold such a name, and would keep it for
+        // good if it received only the changes since.
         if from < to && !self.gaps.contains(&(from, to)) {
             self.gaps.push((from, to));
         }
-        if self.gaps.len() > GAPS {
+        if self.gaps.len() > MAX_GAPS {
             let (start, end) = self.gaps.remove(0);
             let (next_start, next_end) = self.gaps[0];
             self.gaps[0] = (start.min(next_start), end.max(next_end));
         }
     }
 
-    /// Says that nothing is known of removals up to `version`.
-    pub fn begin(&mut self, version: u64) {
-        self.floor = self.floor.max(version);
+    /// Marks removals up to `version` as unknown.
+    pub fn start_history_at(&mut self, version: u64) {
+        self.history_start = self.history_start.max(version);
     }
 
-    /// Takes over a value that was written at `version`; false if something newer is known.
+    /// Applies a value that was written at `version`; false if a newer write or removal is known.
     pub fn put(&mut self, version: u64, name: Rc<str>, value: T) -> bool {
         let known = self.values.get(&name).map_or(0, |(v, _)| *v);
         let removed = self.removed.get(&name).copied().unwrap_or(0);
@@ -141,14 +141,14 @@
         true
     }
 
-    /// Takes over a removal at `version`; false if there is no such value or a newer one.
+    /// Applies a removal at `version`; false if there is no such value or a newer one.
     pub fn remove(&mut self, version: u64, name: &Rc<str>) -> bool {
         let known = self.values.get(name).map_or(0, |(known, _)| *known);
-        let told = self.removed.get(name).copied().unwrap_or(0);
-        if version <= known.max(told) {
+        let removed = self.removed.get(name).copied().unwrap_or(0);
+        if version <= known.max(removed) {
             return false;
         }
-        // Also of a name that this VM never held: others that did may ask it.
+        // Recorded even for a name that this VM never held: VMs that did may ask this one.
         self.removed.insert(name.clone(), version);
         let held = self.values.remove(name).is_some();
         self.version = self.version.max(version);
@@ -157,19 +157,19 @@
     }
 
     fn trim(&mut self) {
-        while self.removed.len() > REMOVALS {
+        while self.removed.len() > MAX_REMOVALS {
             let oldest = self.removed.iter().min_by_key(|(_, v)| **v);
             let Some((name, version)) = oldest.map(|(n, v)| (n.clone(), *v)) else { return };
             self.removed.remove(&name);
-            self.floor = self.floor.max(version);
+            self.history_start = self.history_start.max(version);
         }
     }
 
-    /// What changed after `version`.
+    /// The changes after `version`.
     pub fn since(&self, version: u64) -> Delta<T> {
-        let skipped = self.gaps.iter().any(|(start, end)| *start < version && version < *end);
-        let followed = version > 0 && version >= self.floor && !skipped;
-        let from = followed.then_some(version);
+        let in_gap = self.gaps.iter().any(|(start, end)| *start < version && version < *end);
+        let complete = version > 0 && version >= self.history_start && !in_gap;
+        let from = complete.then_some(version);
         let after = from.unwrap_or(0);
         let changed = self.values.iter().filter(|(_, (v, _))| *v > after);
         let changed = changed.map(|(name, (v, value))| (name.clone(), *v, value.clone())).collect();
@@ -179,23 +179,23 @@
         Delta { from, to: self.version, changed, removed, gaps }
     }
 
-    /// Takes over what another VM tells; what took effect.
+    /// Applies another VM's delta; returns the changes that took effect.
     pub fn apply(&mut self, delta: Delta<T>) -> Applied<T> {
         let mut applied = Applied::default();
-        // A VM that was cut off for long may hold what has been removed since. What the store has
-        // told up to a version counts more than any peer's word about that time.
-        let known = self.complete;
+        // A VM that was cut off for long may hold values that have been removed since. Up to the version that
+        // was read from the store itself, the store takes precedence over any peer.
+        let known = self.store_version;
         if delta.to <= self.version.max(known) {
             return applied;
         }
         let before = self.version;
-        for (version, name) in self.untold(&delta) {
+        for (version, name) in self.implied_removals(&delta) {
             if self.remove(version, &name) {
                 applied.removed.push(name);
             }
         }
         if delta.from.is_none() {
-            self.floor = self.floor.max(delta.to);
+            self.history_start = self.history_start.max(delta.to);
         }
         for (name, version) in delta.removed {
             if self.remove(version, &name) {
@@ -208,28 +208,30 @@
             }
         }
         for (start, end) in delta.gaps {
-            self.skip(start, end);
+            self.add_gap(start, end);
         }
-        // A value may be newer than the version that its teller is at, if that skipped some. Who took such a value's
-        // version for its own would never ask for what came before it.
+        // A value may be newer than the sender's version if the sender skipped changes. If this VM adopted the version
+        // of such a value, it would never ask for the changes before it.
         self.version = before.max(delta.to);
         applied
     }
 
-    /// Names held here that the teller of `delta` would have told if they still were, each with the
-    /// version by which they are gone.
-    fn untold(&self, delta: &Delta<T>) -> Vec<(u64, Rc<str>)> {
-        let gone = |version: u64| match delta.from {
+    /// Names held here that `delta` would contain if they still existed, each with the version by which it was
+    /// removed.
+    fn implied_removals(&self, delta: &Delta<T>) -> Vec<(u64, Rc<str>)> {
+        let removed_by = |version: u64| match delta.from {
             None => Some(delta.to),
-            // A VM may hold newer values than it claims, so also some from within a gap.
+            // A VM may hold values that are newer than its version, so also some from within a gap.
             Some(_) => {
                 let gap =
                     delta.gaps.iter().find(|(start, end)| *start < version && version <= *end);
                 gap.map(|(_, end)| *end)
             }
         };
-        let told: BTreeSet<&Rc<str>> = delta.changed.iter().map(|(name, ..)| name).collect();
-        let untold = self.values.iter().filter(|(name, _)| !told.contains(name));
-        untold.filter_map(|(name, (version, _))| Some((gone(*version)?, name.clone()))).collect()
+        let present: BTreeSet<&Rc<str>> = delta.changed.iter().map(|(name, ..)| name).collect();
+        let absent = self.values.iter().filter(|(name, _)| !present.contains(name));
+        absent
+            .filter_map(|(name, (version, _))| Some((removed_by(*version)?, name.clone())))
+            .collect()
     }
 }
--- a/crates/tgw-spread/src/world.rs
+++ b/crates/tgw-spread/src/world.rs
@@ -1,17 +1,17 @@
 use crate::{
-    Evacuations, Ledger, Upstreams,
-    message::{ConfigNews, Versions},
+    Evacuations, Upstreams, VersionedMap,
+    message::{ConfigUpdate, Versions},
 };
 use std::{collections::BTreeMap, rc::Rc};
 use tgw_clock::Millis;
 use tgw_route::{Config, Limits, Route, Service};
 
-/// The configuration and the list of upstreams as this VM has them.
+/// The configuration, the list of upstreams and the evacuations as this VM has them.
 #[derive(Debug, Default)]
 pub struct World {
     config: u64,
-    routes: Ledger<Route>,
-    services: Ledger<Service>,
+    routes: VersionedMap<Route>,
+    services: VersionedMap<Service>,
     limits: Limits,
     /// The list of upstreams.
     pub upstreams: Upstreams,
@@ -20,12 +20,12 @@
 }
 
 impl World {
-    /// Nothing is known yet; upstreams write their entries each `heartbeat`, if that is known.
+    /// Creates an empty state. Upstreams write their entries once per `heartbeat`, if that is known.
     pub fn new(heartbeat: Option<Millis>) -> Self {
         Self { upstreams: Upstreams::new(heartbeat), ..Self::default() }
     }
 
-    /// How far this VM is.
+    /// The versions that this VM holds.
     pub fn versions(&self) -> Versions {
         Versions {
             config: self.config,
@@ -39,44 +39,44 @@
         self.config
     }
 
-    /// Takes over a configuration that the store told; false if it is not newer.
+    /// Applies a configuration from the store; false if it is not newer.
     pub fn configure(&mut self, config: &Config) -> bool {
-        // A list read before a watch's event may be older than what is in force; going back would
-        // serve routes that the operators have dropped.
+        // A list read before a watch's event may be older than the configuration in force; going back would
+        // serve routes that the operators have removed.
         if config.version <= self.config {
             return false;
         }
         let version = config.version;
         let routes: Vec<_> =
             config.routes.iter().map(|r| (r.name.clone(), (**r).clone())).collect();
-        rewrite(&mut self.routes, self.config, version, &routes);
+        apply_document(&mut self.routes, self.config, version, &routes);
         let services: Vec<_> =
             config.services.iter().map(|(n, s)| (n.clone(), s.clone())).collect();
-        rewrite(&mut self.services, self.config, version, &services);
+        apply_document(&mut self.services, self.config, version, &services);
         self.limits = config.limits;
         self.config = version;
         true
     }
 
-    /// What of the configuration a VM at this version lacks.
-    pub fn since(&self, config: u64) -> Option<ConfigNews> {
+    /// The changes of the configuration that a VM at this version lacks.
+    pub fn since(&self, config: u64) -> Option<ConfigUpdate> {
         let behind = config < self.config;
-        behind.then(|| ConfigNews {
-            routes: at(self.routes.since(config), self.config),
-            services: at(self.services.since(config), self.config),
+        behind.then(|| ConfigUpdate {
+            routes: with_version(self.routes.since(config), self.config),
+            services: with_version(self.services.since(config), self.config),
             limits: self.limits,
         })
     }
 
-    /// Takes over what another VM tells of the configuration; the configuration as it is then, if that is news.
-    pub fn apply(&mut self, news: ConfigNews) -> Option<Config> {
-        if news.routes.to <= self.config {
+    /// Applies another VM's update of the configuration; returns the resulting configuration if it is newer.
+    pub fn apply(&mut self, update: ConfigUpdate) -> Option<Config> {
+        if update.routes.to <= self.config {
             return None;
         }
-        self.config = news.routes.to;
-        self.routes.apply(news.routes);
-        self.services.apply(news.services);
-        self.limits = news.limits;
+        self.config = update.routes.to;
+        self.routes.apply(update.routes);
+        self.services.apply(update.services);
+        self.limits = update.limits;
         Some(self.current())
     }
 
@@ -90,33 +90,34 @@
     }
 }
 
-/// Both parts of a configuration lead to its version, also where one did not change.
-fn at<T>(delta: crate::Delta<T>, version: u64) -> crate::Delta<T> {
+/// Sets the target version of a delta: routes and services both lead to the configuration's version, even where one of
+/// them did not change.
+fn with_version<T>(delta: crate::Delta<T>, version: u64) -> crate::Delta<T> {
     crate::Delta { to: version, ..delta }
 }
 
-/// Takes over a whole document, the first after version `before`: only values that differ get its
+/// Applies a whole document, the first after version `before`. Only values that differ get its
 /// version.
-fn rewrite<T: Clone + PartialEq>(
-    ledger: &mut Ledger<T>,
+fn apply_document<T: Clone + PartialEq>(
+    map: &mut VersionedMap<T>,
     before: u64,
     version: u64,
     values: &[(Rc<str>, T)],
 ) {
     let known: BTreeMap<Rc<str>, T> =
-        ledger.values().map(|(name, value)| (name.clone(), value.clone())).collect();
+        map.values().map(|(name, value)| (name.clone(), value.clone())).collect();
     let first = known.is_empty();
     let changed = values.iter().filter(|(name, value)| known.get(name) != Some(value));
     let changed: Vec<_> = changed.cloned().collect();
     for name in known.keys().filter(|name| !values.iter().any(|(n, _)| n == *name)) {
-        ledger.remove(version, name);
+        map.remove(version, name);
     }
     for (name, value) in changed {
-        ledger.put(version, name, value);
+        map.put(version, name, value);
     }
     if first {
-        ledger.begin(version);
+        map.start_history_at(version);
     } else {
-        ledger.skip(before, version);
+        map.add_gap(before, version);
     }
 }
--- a/crates/tgw-spread/tests/evacuations/mod.rs
+++ b/crates/tgw-spread/tests/evacuations/mod.rs
@@ -1,4 +1,4 @@
-//! The list of evacuated failure domains, as VMs tell it to one another.
+//! The list of evacuated failure domains, as VMs read it from the store and send it to one another.
 
 use proptest::prelude::*;
 use std::{collections::BTreeSet, rc::Rc};
@@ -8,9 +8,9 @@
     domains.iter().map(|domain| Rc::from(*domain)).collect()
 }
 
-// A VM that was cut off still says that a domain is evacuated which has been taken back since.
+// A VM that was cut off still reports an evacuation that has ended since.
 #[test]
-fn an_older_word_of_a_peer_does_not_bring_an_evacuation_back() {
+fn older_peer_update_does_not_restore_an_evacuation() {
     let mut vm = Evacuations::default();
     vm.listed(10, set(&["a"]));
     vm.listed(30, set(&[]));
@@ -18,9 +18,9 @@
     assert!(vm.domains().is_empty());
 }
 
-// The store's word reaches a VM after a peer's word of something later.
+// A change and a list from the store reach a VM after a peer's update with a later version.
 #[test]
-fn an_older_word_of_the_store_undoes_nothing() {
+fn older_store_report_is_ignored() {
     let mut vm = Evacuations::default();
     vm.listed(10, set(&[]));
     vm.told(News { version: 30, domains: set(&["b"]) });
@@ -29,9 +29,9 @@
     assert_eq!(vm.domains(), &set(&["b"]));
 }
 
-// Two domains are evacuated and one is taken back at the same time: the store tells it in one answer.
+// Two domains are evacuated while the evacuation of a third ends: the store reports all of it in one answer.
 #[test]
-fn several_words_as_of_one_version_all_hold() {
+fn all_changes_with_one_version_apply() {
     let mut vm = Evacuations::default();
     vm.listed(10, set(&["a"]));
     vm.changed(14, &"a".into(), false);
@@ -40,9 +40,10 @@
     assert_eq!(vm.domains(), &set(&["b", "c"]));
 }
 
-// A VM that reads the store anew finds nothing changed, while another missed that an evacuation was taken back.
+// A VM lists the store again and finds no change, while another VM has missed the end of an evacuation. The list must
+// raise the version, or the other VM would not receive it.
 #[test]
-fn who_reads_the_store_anew_is_further_than_who_missed_something() {
+fn unchanged_list_still_raises_the_version() {
     let (mut reader, mut other) = (Evacuations::default(), Evacuations::default());
     reader.listed(10, set(&[]));
     other.told(News { version: 20, domains: set(&["a"]) });
@@ -51,9 +52,9 @@
     assert!(other.domains().is_empty());
 }
 
-// What a copy of the store said holds until somebody knows better.
+// A copy of the store, which may be out of date, must not replace an update.
 #[test]
-fn a_copy_of_the_store_is_believed_until_something_is_told() {
+fn copy_of_the_store_is_used_until_an_update_arrives() {
     let mut vm = Evacuations::default();
     vm.copied(set(&["a"]));
     assert_eq!((vm.domains(), vm.since(0)), (&set(&["a"]), None));
@@ -67,7 +68,7 @@
     Write(usize, bool),
     Watch(usize),
     List(usize),
-    Tell(usize, usize),
+    Update(usize, usize),
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -75,14 +76,15 @@
         (0..3usize, any::<bool>()).prop_map(|(domain, on)| Step::Write(domain, on)),
         (0..4usize).prop_map(Step::Watch),
         (0..4usize).prop_map(Step::List),
-        (0..4usize, 0..4usize).prop_map(|(from, to)| Step::Tell(from, to)),
+        (0..4usize, 0..4usize).prop_map(|(from, to)| Step::Update(from, to)),
     ]
 }
 
 proptest! {
-    // Some VMs follow the store, all tell one another, in any order: at a version everybody holds what the store held.
+    // VMs read the store and update one another, in any order: each VM at a version holds the store's list of that
+    // version.
     #[test]
-    fn who_is_at_a_version_holds_what_the_store_held(steps in prop::collection::vec(step(), 1..60)) {
+    fn vm_at_a_version_holds_the_stores_list_of_that_version(steps in prop::collection::vec(step(), 1..60)) {
         const DOMAINS: [&str; 3] = ["a", "b", "c"];
         let mut history: Vec<BTreeSet<Rc<str>>> = vec![BTreeSet::new(), BTreeSet::new()];
         let mut vms: Vec<Evacuations> = (0..4).map(|_| Evacuations::default()).collect();
@@ -111,10 +113,10 @@
                     vms[vm].listed(at as u64, history[at].clone());
                     followed[vm] = Some(at);
                 }
-                Step::Tell(from, to) => {
-                    let news = vms[from].since(vms[to].version());
-                    if let Some(news) = news {
-                        vms[to].told(news);
+                Step::Update(from, to) => {
+                    let update = vms[from].since(vms[to].version());
+                    if let Some(update) = update {
+                        vms[to].told(update);
                     }
                 }
             }
--- a/crates/tgw-spread/tests/spread.rs
+++ b/crates/tgw-spread/tests/spread.rs
@@ -1,4 +1,4 @@
-//! Tests of the spread of news.
+//! Tests of the distribution of configuration, upstreams and evacuations among VMs.
 
 #![allow(clippy::expect_used, clippy::unwrap_used, clippy::panic)] // A test fails by panic.
 
@@ -19,26 +19,26 @@
 };
 use tgw_route::{Config, Residency, Route, Safety, Target};
 use tgw_spread::{
-    Delta, Ledger, Message, Upstreams, World, hop,
+    Delta, Message, Upstreams, VersionedMap, World, hop,
     message::{Datagram, Late},
 };
 
 type Values = Vec<(Rc<str>, u32)>;
 
-fn values(ledger: &Ledger<u32>) -> Values {
-    ledger.values().map(|(name, value)| (name.clone(), *value)).collect()
+fn values(map: &VersionedMap<u32>) -> Values {
+    map.values().map(|(name, value)| (name.clone(), *value)).collect()
 }
 
-fn ledger(complete: u64, values: &[(&str, u64, u32)]) -> Ledger<u32> {
-    let mut ledger = Ledger::default();
+fn map_at(store_version: u64, values: &[(&str, u64, u32)]) -> VersionedMap<u32> {
+    let mut map = VersionedMap::default();
     let values = values.iter().map(|(n, v, x)| ((*n).into(), *v, *x)).collect();
-    ledger.replace(complete, values);
-    ledger
+    map.replace(store_version, values);
+    map
 }
 
 #[test]
-fn a_vm_that_is_behind_gets_what_changed() {
-    let mut ahead = ledger(5, &[("a", 3, 1), ("b", 5, 1)]);
+fn delta_brings_an_older_map_up_to_date() {
+    let mut ahead = map_at(5, &[("a", 3, 1), ("b", 5, 1)]);
     let mut behind = ahead.clone();
     ahead.put(7, "a".into(), 2);
     ahead.remove(8, &"b".into());
@@ -49,9 +49,9 @@
 }
 
 #[test]
-fn one_that_is_too_far_behind_gets_everything() {
-    let ahead = ledger(9, &[("a", 3, 1)]);
-    let mut behind = ledger(2, &[("gone", 2, 1)]);
+fn map_that_is_too_far_behind_gets_all_values() {
+    let ahead = map_at(9, &[("a", 3, 1)]);
+    let mut behind = map_at(2, &[("gone", 2, 1)]);
     let delta = ahead.since(2);
     assert_eq!(delta.from, None);
     let applied = behind.apply(Delta { to: 9, ..delta });
@@ -59,24 +59,24 @@
     assert_eq!(values(&behind), values(&ahead));
 }
 
-// A VM was cut off while an upstream left. Back again, it tells a VM that has just read the store of
-// an older change of that upstream. The entry must not come to life again.
+// A VM is cut off while an upstream leaves. Back again, it sends an older change of that upstream to a VM
+// that has just read the store. The entry must not be restored.
 #[test]
-fn a_peers_old_word_does_not_count_against_the_store() {
-    let mut fresh = ledger(20, &[("a", 5, 1)]);
-    let mut stale = ledger(10, &[("a", 5, 1), ("left", 7, 1)]);
+fn stale_peer_update_does_not_override_the_store() {
+    let mut fresh = map_at(20, &[("a", 5, 1)]);
+    let mut stale = map_at(10, &[("a", 5, 1), ("left", 7, 1)]);
     stale.put(16, "left".into(), 2);
     fresh.apply(stale.since(fresh.version()));
     assert_eq!(values(&fresh), [("a".into(), 1)]);
 }
 
-// A request reached an upstream more than four seconds after its entry was removed. A VM read the list anew and told
-// another, behind both, a newer change of something else. The other took itself for as far as that change, asked
-// nobody for what came before it, and never heard of the removal.
+// A request reaches an upstream more than four seconds after its entry was removed: a VM that has read the list again
+// sends one that is behind a newer change of another entry. If that VM adopted the version of the change, it would ask
+// no VM for the changes before it, and never learn of the removal.
 #[test]
 fn a_newer_change_does_not_hide_a_removal() {
-    let mut reading = ledger(10, &[("a", 9, 1), ("left", 4, 1)]);
-    let (mut asking, mut other) = (ledger(8, &[("a", 8, 1), ("left", 4, 1)]), reading.clone());
+    let mut reading = map_at(10, &[("a", 9, 1), ("left", 4, 1)]);
+    let (mut asking, mut other) = (map_at(8, &[("a", 8, 1), ("left", 4, 1)]), reading.clone());
     reading.replace(12, vec![("a".into(), 12, 2)]);
     other.remove(11, &"left".into());
     other.put(12, "a".into(), 2);
@@ -85,11 +85,11 @@
     assert_eq!(values(&asking), [("a".into(), 2)]);
 }
 
-// An upstream starts and leaves while the store is out of reach of one VM. That VM reads the store anew
-// and is asked by one that has seen the start but not the end: it must not say that nothing was removed.
+// An upstream starts and leaves while one VM cannot reach the store. That VM lists the store again and is
+// asked by one that has seen only the start. Its delta must not imply that nothing was removed.
 #[test]
-fn what_came_and_went_between_two_readings_is_no_secret() {
-    let mut reading = ledger(2, &[("a", 2, 1)]);
+fn value_written_and_removed_between_two_lists_is_dropped() {
+    let mut reading = map_at(2, &[("a", 2, 1)]);
     let mut asking = reading.clone();
     asking.put(3, "brief".into(), 1);
     reading.replace(5, vec![("a".into(), 5, 2)]);
@@ -98,17 +98,17 @@
     assert_eq!(reading.since(2).from, Some(2));
 }
 
-// A VM has read the store anew more often than it tells readings apart, and learned of some of the gaps from
-// peers, in no order. Where two become one, nothing of either may count as followed.
+// A VM has listed the store more often than it keeps gaps apart, and received some gaps from peers, in any
+// order. Where two gaps are merged, no version within either may count as fully known.
 #[test]
-fn gaps_that_become_one_leave_nothing_out() {
-    let mut telling = ledger(100, &[("a", 100, 1)]);
+fn merged_gaps_cover_both_ranges() {
+    let mut sender = map_at(100, &[("a", 100, 1)]);
     for end in [200, 160, 180, 300, 310, 320, 330, 340, 350, 360] {
-        let delta = Delta { from: Some(telling.version()), to: telling.version() + 30, ..empty() };
-        telling.apply(Delta { gaps: vec![(end - 45, end)], ..delta });
+        let delta = Delta { from: Some(sender.version()), to: sender.version() + 30, ..empty() };
+        sender.apply(Delta { gaps: vec![(end - 45, end)], ..delta });
     }
     for version in [120, 140, 158, 170, 190] {
-        assert_eq!(telling.since(version).from, None, "at {version}");
+        assert_eq!(sender.since(version).from, None, "at {version}");
     }
 }
 
@@ -133,10 +133,10 @@
     Config { version, routes, ..Config::default() }
 }
 
-// Operators add a route and take it back while one VM is cut off from the store. A VM that saw the
-// first of the two edits only asks it, and must not go on serving the route.
+// Operators add a route and remove it while one VM is cut off from the store. Another VM, which saw only the
+// first of the two edits, asks it for changes and must not go on serving the route.
 #[test]
-fn a_route_that_came_and_went_unseen_is_dropped() {
+fn route_added_and_removed_while_cut_off_is_dropped() {
     let (mut skipping, mut asking) = (World::default(), World::default());
     for version in [config(3, &["kept"]), config(6, &["kept"])] {
         skipping.configure(&version);
@@ -144,8 +144,8 @@
     for version in [config(3, &["kept"]), config(4, &["kept", "brief"])] {
         asking.configure(&version);
     }
-    let news = skipping.since(asking.config()).unwrap();
-    let routes = asking.apply(news).unwrap().routes;
+    let update = skipping.since(asking.config()).unwrap();
+    let routes = asking.apply(update).unwrap().routes;
     assert_eq!(routes.iter().map(|r| &*r.name).collect::<Vec<_>>(), ["kept"]);
 }
 
@@ -166,7 +166,7 @@
     vm.get("u").map(|entry| entry.started)
 }
 
-/// One of each kind that a peer sends and whose fields a stranger could bend.
+/// One packet of each kind that a peer sends and whose contents may be corrupted.
 fn datagrams() -> Vec<Datagram> {
     let request = hop::Request {
         number: 7,
@@ -190,27 +190,28 @@
         load: None,
         body: vec![3; 32],
     };
-    let late = Late { upstream: "u".into(), started: 3, overdue: true, expected: 12.0 };
-    let (print, seen) = (request.print, request.seen);
-    let ends = vec![End { print, service: 3, upstream: 4, seen }];
-    let holds = vec![QuarantineState { print, service: None, epoch: 1, trials: 0, wait: 9 }];
+    let report = Late { upstream: "u".into(), started: 3, overdue: true, expected: 12.0 };
+    let (fingerprint, seen) = (request.print, request.seen);
+    let ends = vec![End { print: fingerprint, service: 3, upstream: 4, seen }];
+    let holds =
+        vec![QuarantineState { print: fingerprint, service: None, epoch: 1, trials: 0, wait: 9 }];
     vec![
         Datagram::Quarantine(News { ends, holds }),
         Datagram::Hop(Box::new(request)),
         Datagram::HopEnded(Box::new(hop::Reply { number: 7, outcome })),
         Datagram::HopCancelled(7),
-        Datagram::Late(vec![late]),
+        Datagram::Late(vec![report]),
     ]
 }
 
 proptest! {
-    // A packet is cut short, or some of its bytes are bent on the way past the keyed hash, by a VM of another
-    // revision. It decodes to something or to an error, and never ends the process that reads it.
+    // A packet is truncated or corrupted although its keyed hash is right, as one of a VM of another revision may
+    // be. It decodes to a value or to an error, and never ends the process that reads it.
     #[test]
-    fn peers_packets_survive_any_bytes(
+    fn corrupted_packets_decode_or_fail_without_panic(
         which in 0usize..4,
         keep in 0usize..200,
-        bent in prop::collection::vec((0usize..200, any::<u8>()), 0..6),
+        corrupted in prop::collection::vec((0usize..200, any::<u8>()), 0..6),
         tail in prop::collection::vec(any::<u8>(), 0..40),
     ) {
         let whole = postcard::to_allocvec(&datagrams()[which]).unwrap();
@@ -218,7 +219,7 @@
         let mut bytes = whole;
         bytes.truncate(keep);
         bytes.extend(tail);
-        for (at, byte) in bent {
+        for (at, byte) in corrupted {
             if let Some(place) = bytes.get_mut(at) {
                 *place = byte;
             }
@@ -229,9 +230,9 @@
 }
 
 proptest! {
-    // An upstream is restarted again and again, and heartbeats of earlier processes take effect late. VMs
-    // hear of them from the store, by changes and by lists, and from one another, in any order. None
-    // that has heard of a process goes back to an earlier one.
+    // An upstream restarts repeatedly, and heartbeats of earlier processes take effect late. VMs receive them
+    // from the store, by changes and by lists, and from one another, in any order. No VM that knows a process
+    // goes back to an earlier one.
     #[test]
     fn no_vm_goes_back_to_an_earlier_process(
         steps in prop::collection::vec((0usize..3, 0usize..3, 0u8..3, 1u64..6), 1..40),
@@ -239,19 +240,19 @@
         let mut vms = [Upstreams::default(), Upstreams::default(), Upstreams::default()];
         let mut fleets = [Fleet::default(), Fleet::default(), Fleet::default()];
         let now = Millis::ZERO;
-        for (version, (teller, hearer, how, started)) in (1u64..).zip(steps) {
+        for (version, (sender, receiver, how, started)) in (1u64..).zip(steps) {
             let before: Vec<_> = vms.iter().map(start_of).collect();
-            let fleet = &mut fleets[hearer];
+            let fleet = &mut fleets[receiver];
             match how {
-                0 => vms[hearer].written(now, version, upstream(started), fleet),
+                0 => vms[receiver].written(now, version, upstream(started), fleet),
                 1 => {
                     let listed = vec![(version, upstream(started))];
-                    vms[hearer].listed(now, version, listed, &[], fleet);
+                    vms[receiver].listed(now, version, listed, &[], fleet);
                 }
                 _ => {
-                    let at = vms[hearer].version();
-                    if let Some(news) = vms[teller].since(now, at) {
-                        vms[hearer].told(now, news, false, fleet);
+                    let at = vms[receiver].version();
+                    if let Some(update) = vms[sender].since(now, at) {
+                        vms[receiver].told(now, update, false, fleet);
                     }
                 }
             }
@@ -263,15 +264,15 @@
 }
 
 proptest! {
-    // Changes reach VMs through the store, by changes and by whole lists, or through one another, in any order of
-    // asking. Whoever is at the store's version holds what the store holds.
+    // Changes reach VMs from the store, by changes and by whole lists, or from one another, in any order. A VM at the
+    // store's version holds the same values as the store.
     #[test]
-    fn who_is_at_the_stores_version_holds_what_the_store_holds(
+    fn map_at_the_stores_version_equals_the_store(
         steps in proptest::collection::vec((0..5_u8, 0..5_usize, 0..5_usize), 1..120)
     ) {
-        let mut store: Ledger<u32> = ledger(1, &[("n0", 1, 0)]);
+        let mut store: VersionedMap<u32> = map_at(1, &[("n0", 1, 0)]);
         let mut version = 1;
-        let mut vms: Vec<Ledger<u32>> = vec![store.clone(); 5];
+        let mut vms: Vec<VersionedMap<u32>> = vec![store.clone(); 5];
         for (kind, one, two) in steps {
             let name: Rc<str> = format!("n{two}").into();
             match kind {
--- a/crates/tgw-spread/tests/upstreams/mod.rs
+++ b/crates/tgw-spread/tests/upstreams/mod.rs
@@ -1,4 +1,4 @@
-//! What a VM makes of upstreams that leave or whose entries lapse, and what it tells others.
+//! Upstreams that leave or whose entries expire, and the updates that VMs send about them.
 
 use crate::upstream;
 use tgw_clock::Millis;
@@ -8,7 +8,7 @@
     follow::{Probed, Sight, Way},
 };
 
-/// What one VM knows of upstreams, and the fleet that follows it.
+/// The list of upstreams of one VM, and the fleet that follows it.
 #[derive(Default)]
 struct Vm {
     list: Upstreams,
@@ -16,17 +16,17 @@
 }
 
 impl Vm {
-    /// Read from the store at the start, as of version 4.
-    fn knowing(ids: &[&str]) -> Self {
+    /// A VM that has read these upstreams from the store, as of version 4.
+    fn with_upstreams(ids: &[&str]) -> Self {
         let mut vm = Self::default();
         let entries = ids.iter().map(|id| (3, named(id))).collect();
         vm.list.listed(Millis::ZERO, 4, entries, &[], &mut vm.fleet);
         vm
     }
 
-    fn hear(&mut self, now: Millis, other: &Vm) {
-        if let Some(news) = other.list.since(now, self.list.version()) {
-            self.list.told(now, news, false, &mut self.fleet);
+    fn update_from(&mut self, now: Millis, other: &Vm) {
+        if let Some(update) = other.list.since(now, self.list.version()) {
+            self.list.told(now, update, false, &mut self.fleet);
         }
     }
 
@@ -40,83 +40,86 @@
     Entry { id: id.into(), ..upstream(0) }
 }
 
-// The store was away, and a VM keeps an upstream whose entry lapsed. Another VM asks it. It must hear of the removal and
-// of the time for which the upstream is kept: one that heard of neither sent there long after the upstream had left.
+// The store was down, and a VM retains an upstream whose entry has expired. A VM that asks it must receive the removal
+// and the time of retention: without them it would send to the upstream long after that has left.
 #[test]
-fn who_keeps_a_lapsed_upstream_claims_and_tells_what_the_store_says() {
-    let mut vms = [Vm::knowing(&["a", "lapsed"]), Vm::knowing(&["a", "lapsed"])];
-    let [keeping, asking] = &mut vms;
-    keeping.list.lost(Millis::new(9_900));
+fn vm_with_a_retained_upstream_reports_its_removal_and_retention() {
+    let mut vms = [Vm::with_upstreams(&["a", "lapsed"]), Vm::with_upstreams(&["a", "lapsed"])];
+    let [retaining, asking] = &mut vms;
+    retaining.list.lost(Millis::new(9_900));
     let back = Millis::new(10_000);
-    keeping.list.listed(back, 13, vec![(12, named("a"))], &[], &mut keeping.fleet);
-    assert!(keeping.uses("lapsed") && keeping.list.doubted("lapsed").is_some());
-    assert_eq!((keeping.list.version(), keeping.list.get("lapsed")), (13, None));
+    retaining.list.listed(back, 13, vec![(12, named("a"))], &[], &mut retaining.fleet);
+    assert!(retaining.uses("lapsed") && retaining.list.doubted("lapsed").is_some());
+    assert_eq!((retaining.list.version(), retaining.list.get("lapsed")), (13, None));
     let asked = back + Millis::new(500);
-    asking.hear(asked, keeping);
+    asking.update_from(asked, retaining);
     assert_eq!((asking.list.version(), asking.list.get("lapsed")), (13, None));
-    assert!(asking.uses("lapsed"), "it lives, as far as anyone knows");
+    assert!(asking.uses("lapsed"), "retained, as its process may still run");
     for vm in &mut vms {
         vm.list.tick(back + GRACE, &mut vm.fleet);
         assert!(!vm.uses("lapsed") && vm.uses("a"));
     }
 }
 
-// Upstreams say that they leave while a VM keeps another one whose entry lapsed. Whoever asks it must get that change,
-// or believes to have it and goes on sending to the upstreams that leave.
+// An upstream starts draining while a VM retains another one whose entry has expired. A VM that asks must receive that
+// change, or it would count as up to date and go on sending to the upstream that leaves.
 #[test]
-fn who_keeps_a_lapsed_upstream_still_tells_what_changes() {
-    let (mut keeping, mut asking) =
-        (Vm::knowing(&["leaving", "gone"]), Vm::knowing(&["leaving", "gone"]));
-    keeping.list.lost(Millis::new(9_900));
+fn vm_with_a_retained_upstream_still_reports_changes() {
+    let (mut retaining, mut asking) =
+        (Vm::with_upstreams(&["leaving", "gone"]), Vm::with_upstreams(&["leaving", "gone"]));
+    retaining.list.lost(Millis::new(9_900));
     let back = Millis::new(10_000);
-    keeping.list.listed(back, 11, vec![(3, named("leaving"))], &[], &mut keeping.fleet);
-    keeping.list.written(
+    retaining.list.listed(back, 11, vec![(3, named("leaving"))], &[], &mut retaining.fleet);
+    retaining.list.written(
         back,
         12,
         Entry { draining: true, ..named("leaving") },
-        &mut keeping.fleet,
+        &mut retaining.fleet,
     );
-    asking.hear(back, &keeping);
+    asking.update_from(back, &retaining);
     assert!(!asking.uses("leaving") && asking.uses("gone"));
     assert_eq!(asking.list.version(), 12);
 }
 
-// A VM that starts asks one that keeps upstreams whose entries lapsed. Without them it would have none to send to.
+// A VM that starts asks one that retains upstreams whose entries have expired. Without them it would have none to send
+// to.
 #[test]
-fn who_starts_is_told_of_lapsed_upstreams() {
-    let (mut keeping, mut starting) = (Vm::knowing(&["a", "lapsed"]), Vm::default());
-    keeping.list.lost(Millis::new(9_900));
+fn starting_vm_adopts_retained_upstreams() {
+    let (mut retaining, mut starting) = (Vm::with_upstreams(&["a", "lapsed"]), Vm::default());
+    retaining.list.lost(Millis::new(9_900));
     let back = Millis::new(10_000);
-    keeping.list.listed(back, 13, vec![(3, named("a"))], &[], &mut keeping.fleet);
-    starting.hear(back, &keeping);
+    retaining.list.listed(back, 13, vec![(3, named("a"))], &[], &mut retaining.fleet);
+    starting.update_from(back, &retaining);
     assert!(starting.uses("lapsed") && starting.list.get("lapsed").is_none());
     starting.list.tick(back + GRACE, &mut starting.fleet);
     assert!(!starting.uses("lapsed"));
 }
 
-// A VM that stood still keeps upstreams that left meanwhile, and tells one that has gone on, and knows nothing of the
-// revisions between, all that it holds. The upstreams that this one has given up must not come back.
+// A VM that was paused retains upstreams that have left in the meantime. It does not know the revisions in between, so
+// it sends its whole state to a VM that kept running. Upstreams removed there must not come back.
 #[test]
-fn what_a_vm_gave_up_is_not_brought_back_by_one_that_keeps_it() {
-    let (mut keeping, mut ahead) = (Vm::knowing(&["a", "left"]), Vm::knowing(&["a", "left"]));
+fn removed_upstream_is_not_restored_by_a_vm_that_retains_it() {
+    let (mut retaining, mut ahead) =
+        (Vm::with_upstreams(&["a", "left"]), Vm::with_upstreams(&["a", "left"]));
     ahead.list.removed(20, 20, &"left".into(), &mut ahead.fleet);
-    keeping.list.lost(Millis::new(9_900));
+    retaining.list.lost(Millis::new(9_900));
     let back = Millis::new(10_000);
-    keeping.list.listed(back, 24, vec![(24, named("a"))], &[], &mut keeping.fleet);
-    assert!(keeping.uses("left"));
-    ahead.hear(back, &keeping);
+    retaining.list.listed(back, 24, vec![(24, named("a"))], &[], &mut retaining.fleet);
+    assert!(retaining.uses("left"));
+    ahead.update_from(back, &retaining);
     assert_eq!(ahead.list.version(), 24);
     assert!(!ahead.uses("left"));
 }
 
-// The store is read slowly, and a peer tells meanwhile that an upstream has left. The list, as of an earlier revision,
-// still names it; so does a change that the watch brings late. Neither may bring it back.
+// The store is read slowly, and a peer reports in the meantime that an upstream has left. The list, as of an earlier
+// revision, still contains it, and so does a late change from the watch. Neither may restore it.
 #[test]
-fn what_the_store_said_earlier_does_not_bring_an_upstream_back() {
-    let (mut reading, mut ahead) = (Vm::knowing(&["a", "left"]), Vm::knowing(&["a", "left"]));
+fn older_store_report_does_not_restore_an_upstream() {
+    let (mut reading, mut ahead) =
+        (Vm::with_upstreams(&["a", "left"]), Vm::with_upstreams(&["a", "left"]));
     ahead.list.removed(20, 20, &"left".into(), &mut ahead.fleet);
     let now = Millis::new(5_000);
-    reading.hear(now, &ahead);
+    reading.update_from(now, &ahead);
     assert!(!reading.uses("left"));
     let listed = vec![(3, named("a")), (3, named("left"))];
     reading.list.listed(now, 15, listed, &[], &mut reading.fleet);
@@ -124,36 +127,36 @@
     assert!(!reading.uses("left") && reading.uses("a"));
 }
 
-// An upstream's entry is removed and written again before the VM watches on. The removal is told as of the later
-// revision; taken for as late, it would undo the writing.
+// An upstream's entry is removed and written again before the VM's next watch. The removal is reported as of the later
+// revision; applied at that revision, it would undo the write.
 #[test]
-fn an_entry_written_again_right_after_its_removal_is_used() {
-    let mut vm = Vm::knowing(&["a"]);
+fn entry_rewritten_right_after_its_removal_is_used() {
+    let mut vm = Vm::with_upstreams(&["a"]);
     vm.list.removed(23, 21, &"a".into(), &mut vm.fleet);
     vm.list.written(Millis::new(5_000), 22, named("a"), &mut vm.fleet);
     assert!(vm.uses("a"));
 }
 
-// The store turns a VM away. Its two watches fail one after the other, and each said of the VM what itself had seen: it
-// was blind, not blind, and blind again, and the VM that took over gave the watch back.
+// The store rejects a VM, whose two watches fail one after the other. If the results shared one flag, the VM would
+// alternate between unreachable and reachable, and the VM that took over would give the watch back.
 #[test]
-fn one_way_of_asking_does_not_overwrite_another() {
-    let mut sight = Sight::default();
-    assert!(sight.note(Way::Configuration, true));
-    assert!(!sight.note(Way::Upstreams, false));
-    assert!(sight.is_blind());
-    assert!(sight.note(Way::Configuration, false));
-    assert!(!sight.is_blind());
+fn kinds_of_calls_do_not_overwrite_each_others_results() {
+    let mut reachability = Sight::default();
+    assert!(reachability.note(Way::Configuration, true));
+    assert!(!reachability.note(Way::Upstreams, false));
+    assert!(reachability.is_blind());
+    assert!(reachability.note(Way::Configuration, false));
+    assert!(!reachability.is_blind());
 }
 
-// A connection breaks under a probe: that is no store that turns this VM away. Twice in a row it is, and silence is.
+// One refused probe may be a broken connection, not a store that rejects this VM. Two in a row or a timeout count.
 #[test]
-fn one_refused_probe_is_an_accident() {
-    let mut sight = Sight::default();
-    assert!(!sight.probed(Probed::Refused));
-    assert!(!sight.probed(Probed::Answered));
-    assert!(!sight.probed(Probed::Refused));
-    assert!(sight.probed(Probed::Refused));
-    assert!(sight.probed(Probed::Answered));
-    assert!(sight.probed(Probed::Silent));
+fn single_refused_probe_is_ignored() {
+    let mut reachability = Sight::default();
+    assert!(!reachability.probed(Probed::Refused));
+    assert!(!reachability.probed(Probed::Answered));
+    assert!(!reachability.probed(Probed::Refused));
+    assert!(reachability.probed(Probed::Refused));
+    assert!(reachability.probed(Probed::Answered));
+    assert!(reachability.probed(Probed::Silent));
 }
