--- a/crates/tgw-dispatch/src/group.rs
+++ b/crates/tgw-dispatch/src/group.rs
@@ -1,8 +1,8 @@
 use crate::{
+    health::{Health, InFlight, Rank},
     leaf::{Failure, Held, Key, Leaf, Outcome, Reply},
-    owner::{Action, Note, Options, Passed, Ticket, What},
+    owner::{Action, Note, Options, SkipReason, Ticket, What},
     pick::Policy,
-    trust::{Rank, Run, Trust},
 };
 use smallvec::SmallVec;
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,39 +10,41 @@
 use tgw_tail::{Budget, Hedge};
 use tgw_topology::{Group as GroupId, Snapshot, Upstream, catalog::Node};
 
-/// Waiting requests looked at for one free slot; those behind them wait for the next.
-const SCAN: usize = 64;
-const RETRY_BURST: f64 = 20.0;
-
-/// What the groups of one service share at their owner.
-pub(crate) struct Pool<'a> {
-    pub(crate) next: &'a mut Ticket,
-    /// Lateness is judged over all groups of the service: a straggler makes much of its own group
-    /// late, and a delay learned there alone would rise until it counted as ordinary.
+/// Queued requests examined in one pass; the rest wait for the next pass.
+const MAX_SCANNED_REQUESTS: usize = 64;
+/// Most retries that the budget may accumulate.
+const RETRY_BURST_REQUESTS: f64 = 20.0;
+
+/// State that the groups of one service share at their owner.
+pub(crate) struct ServiceContext<'a> {
+    pub(crate) next_ticket: &'a mut Ticket,
+    /// The hedge delay is learned over all groups of the service: a straggler makes many requests
+    /// of its own group late, and a delay learned there alone would rise until none counted as
+    /// late.
     pub(crate) hedge: &'a mut Hedge,
 }
 
-impl Pool<'_> {
-    fn ticket(&mut self) -> Ticket {
-        *self.next += 1;
-        *self.next
+impl ServiceContext<'_> {
+    fn allocate_ticket(&mut self) -> Ticket {
+        *self.next_ticket += 1;
+        *self.next_ticket
     }
 }
 
-/// A request that waits or runs.
+/// A queued or in-flight request.
 pub(crate) struct Task {
     pub(crate) leaf: Leaf,
     pub(crate) arrived: Millis,
-    /// Time in the queue before the first sending; `None` while it has not been sent.
-    pub(crate) waited: Option<Millis>,
-    /// Indices of the upstreams that may serve it; those that failed are taken out.
+    /// Time in the queue before the first send; `None` until then.
+    pub(crate) queue_wait: Option<Millis>,
+    /// Indices of the upstreams that may serve it; those that failed it are removed.
     pub(crate) eligible: SmallVec<[usize; 4]>,
-    /// Sendings that run now.
-    pub(crate) runs: SmallVec<[(Ticket, usize); 2]>,
-    pub(crate) sent: u8,
+    /// Sends in flight, each with the index of its upstream.
+    pub(crate) in_flight: SmallVec<[(Ticket, usize); 2]>,
+    pub(crate) sends: u8,
     pub(crate) hedged: bool,
-    /// What the last failed sending brought, for the answer when nothing is left to try.
-    pub(crate) last: Option<Outcome>,
+    /// The outcome of the last failed send, reported when no upstream is left to try.
+    pub(crate) last_failure: Option<Outcome>,
 }
 
 /// One replica group.
@@ -50,15 +52,15 @@
     pub(crate) id: GroupId,
     pub(crate) options: Options,
     pub(crate) policy: Box<dyn Policy>,
-    pub(crate) upstreams: Vec<Trust>,
+    pub(crate) upstreams: Vec<Health>,
     pub(crate) tasks: BTreeMap<u64, Task>,
     pub(crate) keys: BTreeMap<Key, u64>,
-    /// Waiting requests by deadline, then arrival.
+    /// Queued requests by deadline, then arrival.
     pub(crate) queue: BTreeSet<(Millis, u64)>,
-    pub(crate) next_task: u64,
-    pub(crate) retry: Budget,
-    pub(crate) share: f64,
-    pub(crate) released: bool,
+    pub(crate) next_task_id: u64,
+    pub(crate) retry_budget: Budget,
+    pub(crate) slot_share: f64,
+    pub(crate) handed_over: bool,
 }
 
 impl Group {
@@ -71,49 +73,49 @@
             tasks: BTreeMap::new(),
             keys: BTreeMap::new(),
             queue: BTreeSet::new(),
-            next_task: 1,
-            retry: Budget::new(options.retry, RETRY_BURST),
-            share: 1.0,
-            released: false,
+            next_task_id: 1,
+            retry_budget: Budget::new(options.retry, RETRY_BURST_REQUESTS),
+            slot_share: 1.0,
+            handed_over: false,
         }
     }
 
-    pub(crate) fn describe(&mut self, nodes: &[&Node], options: &Options) {
-        self.released = false;
-        self.retry.set_share(options.retry);
+    pub(crate) fn update(&mut self, nodes: &[&Node], options: &Options) {
+        self.handed_over = false;
+        self.retry_budget.set_share(options.retry);
         self.options = options.clone();
         for node in nodes.iter().filter(|n| n.group() == self.id) {
             match self.upstreams.iter_mut().find(|u| u.id == node.id) {
                 Some(known) => {
                     known.slots = node.slots;
                     if node.leaving {
-                        known.leave();
+                        known.mark_leaving();
                     }
                 }
-                None => self.upstreams.push(Trust::new(node, options.ramp)),
+                None => self.upstreams.push(Health::new(node, options.ramp)),
             }
         }
     }
 
-    pub(crate) fn share(&mut self, share: f64) {
-        self.share = share;
+    pub(crate) fn set_share(&mut self, share: f64) {
+        self.slot_share = share;
     }
 
-    pub(crate) fn released(&self) -> bool {
-        self.released
+    pub(crate) fn handed_over(&self) -> bool {
+        self.handed_over
     }
 
-    pub(crate) fn idle(&self) -> bool {
-        self.tasks.is_empty() && self.upstreams.iter().all(|u| u.runs.is_empty())
+    pub(crate) fn is_idle(&self) -> bool {
+        self.tasks.is_empty() && self.upstreams.iter().all(|u| u.in_flight.is_empty())
     }
 
-    /// Takes the waiting requests out; those that run stay.
-    pub(crate) fn release(&mut self) -> Vec<Key> {
-        self.released = true;
-        let waiting = std::mem::take(&mut self.queue);
-        let mut keys = Vec::with_capacity(waiting.len());
-        for (_, number) in waiting {
-            if let Some(task) = self.tasks.remove(&number) {
+    /// Removes the queued requests and returns their keys; those in flight stay.
+    pub(crate) fn take_queued(&mut self) -> Vec<Key> {
+        self.handed_over = true;
+        let queued = std::mem::take(&mut self.queue);
+        let mut keys = Vec::with_capacity(queued.len());
+        for (_, task_id) in queued {
+            if let Some(task) = self.tasks.remove(&task_id) {
                 self.keys.remove(&task.leaf.key);
                 keys.push(task.leaf.key);
             }
@@ -121,49 +123,49 @@
         keys
     }
 
-    pub(crate) fn running(&self, upstream: Upstream) -> usize {
-        self.upstreams.iter().find(|u| u.id == upstream).map_or(0, |u| u.runs.len())
+    pub(crate) fn in_flight(&self, upstream: Upstream) -> usize {
+        self.upstreams.iter().find(|u| u.id == upstream).map_or(0, |u| u.in_flight.len())
     }
 
-    pub(crate) fn belief(
+    pub(crate) fn estimate(
         &self,
         now: Millis,
         upstream: Upstream,
     ) -> Option<(Rank, Option<&Held>, f64)> {
-        let trust = self.upstreams.iter().find(|u| u.id == upstream)?;
-        Some((trust.rank(now), trust.held(), trust.latency.get()))
+        let health = self.upstreams.iter().find(|u| u.id == upstream)?;
+        Some((health.rank(now), health.snapshots(), health.latency_ms.get()))
     }
 
     pub(crate) fn holds(&self, snapshot: Snapshot) -> bool {
-        self.upstreams.iter().any(|u| !u.leaving() && u.holds(snapshot))
+        self.upstreams.iter().any(|u| !u.is_leaving() && u.holds(snapshot))
     }
 
-    pub(crate) fn set_held(&mut self, upstream: Upstream, held: Held) {
-        if let Some(trust) = self.upstreams.iter_mut().find(|u| u.id == upstream) {
-            trust.set_held(held);
+    pub(crate) fn set_snapshots(&mut self, upstream: Upstream, held: Held) {
+        if let Some(health) = self.upstreams.iter_mut().find(|u| u.id == upstream) {
+            health.set_snapshots(held);
         }
     }
 
-    pub(crate) fn restarted(&mut self, upstream: Upstream) {
-        if let Some(trust) = self.upstreams.iter_mut().find(|u| u.id == upstream) {
-            trust.restart();
+    pub(crate) fn mark_restarted(&mut self, upstream: Upstream) {
+        if let Some(health) = self.upstreams.iter_mut().find(|u| u.id == upstream) {
+            health.reset();
         }
     }
 
-    pub(crate) fn leaving(&mut self, now: Millis, upstream: Upstream, out: &mut Vec<Action>) {
-        let Some(trust) = self.upstreams.iter_mut().find(|u| u.id == upstream) else { return };
-        if trust.leave() {
-            note(None, upstream, What::Leaving, SmallVec::new(), out);
+    pub(crate) fn mark_leaving(&mut self, now: Millis, upstream: Upstream, out: &mut Vec<Action>) {
+        let Some(health) = self.upstreams.iter_mut().find(|u| u.id == upstream) else { return };
+        if health.mark_leaving() {
+            log_decision(None, upstream, What::Leaving, SmallVec::new(), out);
         }
-        self.give_up_unservable(now, out);
+        self.fail_unservable(now, out);
     }
 
-    pub(crate) fn ask(
+    pub(crate) fn enqueue(
         &mut self,
         now: Millis,
         replicas: &[Upstream],
         leaf: Leaf,
-        pool: &mut Pool<'_>,
+        service: &mut ServiceContext<'_>,
         out: &mut Vec<Action>,
     ) {
         let index = |id: &Upstream| self.upstreams.iter().position(|u| u.id == *id);
@@ -172,129 +174,136 @@
         if let Some(bound) = self.policy.bind(now, &candidates) {
             eligible = SmallVec::from_slice(&eligible[bound..=bound]);
         }
-        let number = self.next_task;
-        self.next_task += 1;
-        self.keys.insert(leaf.key, number);
-        self.queue.insert((leaf.deadline, number));
+        let task_id = self.next_task_id;
+        self.next_task_id += 1;
+        self.keys.insert(leaf.key, task_id);
+        self.queue.insert((leaf.deadline, task_id));
         let task = Task {
             leaf,
             arrived: now,
-            waited: None,
+            queue_wait: None,
             eligible,
-            runs: SmallVec::new(),
-            sent: 0,
+            in_flight: SmallVec::new(),
+            sends: 0,
             hedged: false,
-            last: None,
+            last_failure: None,
         };
-        self.tasks.insert(number, task);
-        if self.unfit(now, number) {
-            return self.answer(now, number, Outcome::Crowded, out);
+        self.tasks.insert(task_id, task);
+        if self.should_return_now(now, task_id) {
+            return self.answer(now, task_id, Outcome::Crowded, out);
         }
-        self.fill(now, pool, out);
-        self.give_up_if_unservable(now, number, out);
+        self.fill_slots(now, service, out);
+        self.fail_if_unservable(now, task_id, out);
     }
 
     pub(crate) fn cancel(&mut self, key: Key, out: &mut Vec<Action>) {
-        if let Some(number) = self.keys.get(&key).copied() {
-            self.remove(number, out);
+        if let Some(task_id) = self.keys.get(&key).copied() {
+            self.remove(task_id, out);
         }
     }
 
-    pub(crate) fn done(
+    pub(crate) fn finish_send(
         &mut self,
         now: Millis,
         ticket: Ticket,
         result: Result<Reply, Failure>,
         held: Option<Held>,
-        pool: &mut Pool<'_>,
+        service: &mut ServiceContext<'_>,
         out: &mut Vec<Action>,
     ) {
-        let Some((index, run)) = self.take_run(ticket) else { return };
+        let Some((index, send)) = self.take_in_flight(ticket) else { return };
         if let Some(held) = held {
-            self.upstreams[index].set_held(held);
+            self.upstreams[index].set_snapshots(held);
         }
-        let snapshot = self.tasks.get(&run.task).map(|t| (t.leaf.snapshot, t.leaf.key));
-        self.judge(now, pool.hedge.delay(), (index, &run), &result, snapshot, out);
-        if !run.aborted {
-            self.settle(now, index, &run, result, out);
+        let requested = self.tasks.get(&send.task).map(|t| (t.leaf.snapshot, t.leaf.key));
+        self.update_health(now, service.hedge.delay(), (index, &send), &result, requested, out);
+        if !send.aborted {
+            self.apply_result(now, index, &send, result, out);
         }
-        self.fill(now, pool, out);
+        self.fill_slots(now, service, out);
     }
 
-    fn take_run(&mut self, ticket: Ticket) -> Option<(usize, Run)> {
+    fn take_in_flight(&mut self, ticket: Ticket) -> Option<(usize, InFlight)> {
         self.upstreams.iter_mut().enumerate().find_map(|(index, upstream)| {
-            let at = upstream.runs.iter().position(|r| r.ticket == ticket)?;
-            Some((index, upstream.runs.remove(at)))
+            let at = upstream.in_flight.iter().position(|r| r.ticket == ticket)?;
+            Some((index, upstream.in_flight.remove(at)))
         })
     }
 
-    /// Updates what is believed of the upstream by how a sending ended.
-    fn judge(
+    /// Updates the health of the upstream after a send has ended.
+    fn update_health(
         &mut self,
         now: Millis,
-        late: Millis,
-        (index, run): (usize, &Run),
+        late_after: Millis,
+        (index, send): (usize, &InFlight),
         result: &Result<Reply, Failure>,
-        asked: Option<(Snapshot, Key)>,
+        requested: Option<(Snapshot, Key)>,
         out: &mut Vec<Action>,
     ) {
         let upstream = &mut self.upstreams[index];
-        let age = now - run.started;
+        let age = now - send.sent_at;
         match result {
-            // A cancelled straggler says nothing of its speed; it stays as it was judged.
+            // The time to a cancellation is no measure of latency: rank and latency stay as they
+            // are.
             Ok(Reply::Cancelled) => {}
-            Ok(Reply::Items { .. }) if !run.aborted => upstream.good(age, late),
+            Ok(Reply::Items { .. }) if !send.aborted => upstream.record_success(age, late_after),
             Ok(Reply::Items { .. } | Reply::Ran(_) | Reply::Expired) => {}
             Ok(Reply::Gone) => {
-                if let Some((snapshot, _)) = asked {
-                    upstream.lost(snapshot);
+                if let Some((snapshot, _)) = requested {
+                    upstream.remove_snapshot(snapshot);
                 }
             }
-            Ok(Reply::Shed) => upstream.shed(),
+            Ok(Reply::Shed) => upstream.record_shed(),
             Ok(Reply::Draining) => {
-                if upstream.leave() {
+                if upstream.mark_leaving() {
                     let id = upstream.id;
-                    note(None, id, What::Leaving, SmallVec::new(), out);
+                    log_decision(None, id, What::Leaving, SmallVec::new(), out);
                 }
             }
             Err(_) => {
-                if upstream.fail(now) {
-                    note(asked.map(|a| a.1), upstream.id, What::Eject, SmallVec::new(), out);
+                if upstream.record_failure(now) {
+                    log_decision(
+                        requested.map(|r| r.1),
+                        upstream.id,
+                        What::Eject,
+                        SmallVec::new(),
+                        out,
+                    );
                 }
             }
         }
     }
 
-    /// Answers the request that a sending was for, or lets it be tried again.
-    fn settle(
+    /// Answers the request after one of its sends has ended, or retries it.
+    fn apply_result(
         &mut self,
         now: Millis,
         index: usize,
-        run: &Run,
+        send: &InFlight,
         result: Result<Reply, Failure>,
         out: &mut Vec<Action>,
     ) {
-        let Some(task) = self.tasks.get_mut(&run.task) else { return };
-        task.runs.retain(|(ticket, _)| *ticket != run.ticket);
+        let Some(task) = self.tasks.get_mut(&send.task) else { return };
+        task.in_flight.retain(|(ticket, _)| *ticket != send.ticket);
         let outcome = match result {
-            // An upstream that answers for another snapshot or shard than it was asked for would
-            // put foreign items into the answer. It costs the attempt, and says nothing of what the
-            // upstream holds: taken as a lost snapshot, it made the entry give up the whole group.
+            // A reply for another snapshot or shard than requested would put foreign items into the
+            // answer, so the attempt fails. It is not treated as a missing snapshot, as that would
+            // make the entry VM exclude the whole group.
             Ok(Reply::Items { snapshot, shard, items }) => {
                 if (snapshot, shard) == (task.leaf.snapshot, task.leaf.key.shard) {
-                    self.answer(now, run.task, Outcome::Items(items), out);
+                    self.answer(now, send.task, Outcome::Items(items), out);
                     return;
                 }
                 Outcome::Failed(Failure::Malformed)
             }
             Ok(Reply::Ran(result)) => {
-                self.answer(now, run.task, Outcome::Items(result), out);
+                self.answer(now, send.task, Outcome::Items(result), out);
                 return;
             }
-            // An order that was sent may have been run, whatever broke after that. Only a connection
-            // that was never made, or the upstream's own word, allows another sending.
+            // An order that was sent may have been run, whatever failed afterwards. It is sent
+            // again only if no connection was made or the upstream replied that it did not run it.
             Err(failure) if task.leaf.once() && failure != Failure::Connect => {
-                self.answer(now, run.task, Outcome::Failed(failure), out);
+                self.answer(now, send.task, Outcome::Failed(failure), out);
                 return;
             }
             Ok(Reply::Gone) => Outcome::Gone,
@@ -304,59 +313,59 @@
             Err(failure) => Outcome::Failed(failure),
         };
         task.eligible.retain(|i| *i != index);
-        task.last = Some(outcome);
-        if task.runs.is_empty() {
-            self.try_again(now, run.task, out);
+        task.last_failure = Some(outcome);
+        if task.in_flight.is_empty() {
+            self.retry_or_give_up(now, send.task, out);
         }
     }
 
-    pub(crate) fn try_again(&mut self, now: Millis, number: u64, out: &mut Vec<Action>) {
-        let Some(task) = self.tasks.get_mut(&number) else { return };
-        let may = task.sent < self.options.attempts && !task.eligible.is_empty();
-        // A shed or missing snapshot cost the upstream nothing, so only work that may have been
-        // done is charged to the budget.
-        let free = matches!(task.last, Some(Outcome::Shed | Outcome::Gone));
-        if may && now < task.leaf.deadline && (free || self.retry.spend()) {
-            self.queue.insert((task.leaf.deadline, number));
-            self.give_up_if_unservable(now, number, out);
+    pub(crate) fn retry_or_give_up(&mut self, now: Millis, task_id: u64, out: &mut Vec<Action>) {
+        let Some(task) = self.tasks.get_mut(&task_id) else { return };
+        let may_send = task.sends < self.options.attempts && !task.eligible.is_empty();
+        // A request that was shed, or whose snapshot was missing, cost the upstream nothing, so
+        // only retries of work that may have been done are charged to the budget.
+        let is_free = matches!(task.last_failure, Some(Outcome::Shed | Outcome::Gone));
+        if may_send && now < task.leaf.deadline && (is_free || self.retry_budget.spend()) {
+            self.queue.insert((task.leaf.deadline, task_id));
+            self.fail_if_unservable(now, task_id, out);
         } else {
-            self.give_up(now, number, out);
+            self.answer_last_failure(now, task_id, out);
         }
     }
 
-    pub(crate) fn give_up(&mut self, now: Millis, number: u64, out: &mut Vec<Action>) {
-        let last = self.tasks.get_mut(&number).and_then(|t| t.last.take());
-        let outcome = last.unwrap_or(Outcome::Failed(Failure::NoUpstream));
-        self.answer(now, number, outcome, out);
+    pub(crate) fn answer_last_failure(&mut self, now: Millis, task_id: u64, out: &mut Vec<Action>) {
+        let last_failure = self.tasks.get_mut(&task_id).and_then(|t| t.last_failure.take());
+        let outcome = last_failure.unwrap_or(Outcome::Failed(Failure::NoUpstream));
+        self.answer(now, task_id, outcome, out);
     }
 
     pub(crate) fn answer(
         &mut self,
         now: Millis,
-        number: u64,
+        task_id: u64,
         outcome: Outcome,
         out: &mut Vec<Action>,
     ) {
-        let Some(task) = self.remove(number, out) else { return };
+        let Some(task) = self.remove(task_id, out) else { return };
         out.push(Action::Answer {
             key: task.leaf.key,
             outcome,
-            stock: self.stock(),
-            extra: task.sent.saturating_sub(1),
-            waited: task.waited.unwrap_or_default(),
-            pressure: self.pressure(now),
+            stock: self.snapshot_counts(),
+            extra: task.sends.saturating_sub(1),
+            waited: task.queue_wait.unwrap_or_default(),
+            pressure: self.load_ratio(now),
         });
     }
 
-    /// Takes a request out and stops what still runs for it.
-    fn remove(&mut self, number: u64, out: &mut Vec<Action>) -> Option<Task> {
-        let task = self.tasks.remove(&number)?;
+    /// Removes a request and cancels its sends in flight; those of an order continue.
+    fn remove(&mut self, task_id: u64, out: &mut Vec<Action>) -> Option<Task> {
+        let task = self.tasks.remove(&task_id)?;
         self.keys.remove(&task.leaf.key);
-        self.queue.remove(&(task.leaf.deadline, number));
-        for (ticket, index) in &task.runs {
+        self.queue.remove(&(task.leaf.deadline, task_id));
+        for (ticket, index) in &task.in_flight {
             let upstream = &mut self.upstreams[*index];
-            if let Some(run) = upstream.runs.iter_mut().find(|r| r.ticket == *ticket) {
-                run.aborted = true;
+            if let Some(send) = upstream.in_flight.iter_mut().find(|r| r.ticket == *ticket) {
+                send.aborted = true;
                 if !task.leaf.once() {
                     out.push(Action::Abort { ticket: *ticket, upstream: upstream.id });
                 }
@@ -365,33 +374,49 @@
         Some(task)
     }
 
-    pub(crate) fn tick(&mut self, now: Millis, pool: &mut Pool<'_>, out: &mut Vec<Action>) {
+    pub(crate) fn tick(
+        &mut self,
+        now: Millis,
+        service: &mut ServiceContext<'_>,
+        out: &mut Vec<Action>,
+    ) {
         if self.tasks.is_empty() {
             return;
         }
-        self.expire(now, out);
-        self.mark_late(now, pool, out);
-        // What waits for a snapshot that the last upstream has let go since would wait for its deadline.
-        self.give_up_unservable(now, out);
-        self.fill(now, pool, out);
+        self.expire_tasks(now, out);
+        self.mark_late(now, service, out);
+        // A queued request whose snapshot has meanwhile been released by the last upstream would
+        // otherwise wait until its deadline.
+        self.fail_unservable(now, out);
+        self.fill_slots(now, service, out);
     }
 
-    pub(crate) fn fill(&mut self, now: Millis, pool: &mut Pool<'_>, out: &mut Vec<Action>) {
+    pub(crate) fn fill_slots(
+        &mut self,
+        now: Millis,
+        service: &mut ServiceContext<'_>,
+        out: &mut Vec<Action>,
+    ) {
         if self.options.hedge_first {
-            self.hedge_late(now, pool, out);
-            self.place(now, pool, out);
+            self.hedge_late(now, service, out);
+            self.send_queued(now, service, out);
         } else {
-            self.place(now, pool, out);
-            self.hedge_late(now, pool, out);
+            self.send_queued(now, service, out);
+            self.hedge_late(now, service, out);
         }
     }
 
-    /// Sends waiting requests to free upstreams.
-    pub(crate) fn place(&mut self, now: Millis, pool: &mut Pool<'_>, out: &mut Vec<Action>) {
-        let pressed = self.pressed();
+    /// Sends queued requests to upstreams with free slots.
+    pub(crate) fn send_queued(
+        &mut self,
+        now: Millis,
+        service: &mut ServiceContext<'_>,
+        out: &mut Vec<Action>,
+    ) {
+        let overloaded = self.is_overloaded();
         let mut from = (Millis::ZERO, 0);
-        for _ in 0..SCAN {
-            if !self.upstreams.iter().any(|u| u.free(now, self.share, pressed)) {
+        for _ in 0..MAX_SCANNED_REQUESTS {
+            if !self.upstreams.iter().any(|u| u.has_free_slot(now, self.slot_share, overloaded)) {
                 return;
             }
             let Some(at) = self.queue.range(from..).next().copied() else { return };
@@ -400,82 +425,84 @@
             let usable = self.usable(task);
             let candidates = self.candidates(now, &usable);
             let Some(chosen) = self.policy.choose(now, &candidates) else { continue };
-            let what = if task.sent == 0 { What::Send } else { What::Retry };
+            let kind = if task.sends == 0 { What::Send } else { What::Retry };
             self.queue.remove(&at);
-            if what == What::Send {
-                pool.hedge.request();
-                self.retry.earn();
+            if kind == What::Send {
+                service.hedge.request();
+                self.retry_budget.earn();
             }
-            self.send(now, at.1, usable[chosen], what, pool, out);
+            self.send(now, at.1, usable[chosen], kind, service, out);
         }
     }
 
     pub(crate) fn send(
         &mut self,
         now: Millis,
-        number: u64,
+        task_id: u64,
         index: usize,
-        what: What,
-        pool: &mut Pool<'_>,
+        kind: What,
+        service: &mut ServiceContext<'_>,
         out: &mut Vec<Action>,
     ) {
-        let traced = self.tasks.get(&number).is_some_and(|t| t.leaf.traced);
-        let passed = if traced { self.passed(now, number, index) } else { SmallVec::new() };
-        let Some(task) = self.tasks.get_mut(&number) else { return };
-        let ticket = pool.ticket();
-        task.sent += 1;
-        task.hedged |= what == What::Hedge;
-        task.waited.get_or_insert(now - task.arrived);
-        task.runs.push((ticket, index));
+        let traced = self.tasks.get(&task_id).is_some_and(|t| t.leaf.traced);
+        let skipped = if traced { self.skipped(now, task_id, index) } else { SmallVec::new() };
+        let Some(task) = self.tasks.get_mut(&task_id) else { return };
+        let ticket = service.allocate_ticket();
+        task.sends += 1;
+        task.hedged |= kind == What::Hedge;
+        task.queue_wait.get_or_insert(now - task.arrived);
+        task.in_flight.push((ticket, index));
         let upstream = &mut self.upstreams[index];
-        upstream.runs.push(Run { ticket, task: number, started: now, late: false, aborted: false });
+        upstream.in_flight.push(InFlight {
+            ticket,
+            task: task_id,
+            sent_at: now,
+            counted_late: false,
+            aborted: false,
+        });
         if traced {
-            note(Some(task.leaf.key), upstream.id, what, passed, out);
+            log_decision(Some(task.leaf.key), upstream.id, kind, skipped, out);
         }
         out.push(Action::Send { ticket, upstream: upstream.id, leaf: task.leaf.clone() });
     }
 
-    fn give_up_unservable(&mut self, now: Millis, out: &mut Vec<Action>) {
-        let waiting: Vec<u64> = self.queue.iter().map(|(_, number)| *number).collect();
-        for number in waiting {
-            self.give_up_if_unservable(now, number, out);
+    fn fail_unservable(&mut self, now: Millis, out: &mut Vec<Action>) {
+        let queued: Vec<u64> = self.queue.iter().map(|(_, task_id)| *task_id).collect();
+        for task_id in queued {
+            self.fail_if_unservable(now, task_id, out);
         }
     }
 
-    /// Answers a waiting request at once when no upstream could ever be sent it.
-    pub(crate) fn give_up_if_unservable(
-        &mut self,
-        now: Millis,
-        number: u64,
-        out: &mut Vec<Action>,
-    ) {
-        let Some(task) = self.tasks.get_mut(&number) else { return };
-        if !task.runs.is_empty() || !self.queue.contains(&(task.leaf.deadline, number)) {
+    /// Answers a queued request at once if no upstream can be sent it any more.
+    pub(crate) fn fail_if_unservable(&mut self, now: Millis, task_id: u64, out: &mut Vec<Action>) {
+        let Some(task) = self.tasks.get_mut(&task_id) else { return };
+        if !task.in_flight.is_empty() || !self.queue.contains(&(task.leaf.deadline, task_id)) {
             return;
         }
         if task.leaf.deadline <= now {
-            self.answer(now, number, Outcome::Expired, out);
+            self.answer(now, task_id, Outcome::Expired, out);
             return;
         }
-        let staying = |i: &&usize| !self.upstreams[**i].leaving();
-        let staying: SmallVec<[usize; 4]> = task.eligible.iter().filter(staying).copied().collect();
+        let is_staying = |i: &&usize| !self.upstreams[**i].is_leaving();
+        let staying: SmallVec<[usize; 4]> =
+            task.eligible.iter().filter(is_staying).copied().collect();
         if staying.is_empty() {
-            self.give_up(now, number, out);
+            self.answer_last_failure(now, task_id, out);
         } else if !task.leaf.once()
             && !staying.iter().any(|i| self.upstreams[*i].holds(task.leaf.snapshot))
         {
-            task.last = Some(Outcome::Gone);
-            self.give_up(now, number, out);
+            task.last_failure = Some(Outcome::Gone);
+            self.answer_last_failure(now, task_id, out);
         }
     }
 }
 
-pub(crate) fn note(
+pub(crate) fn log_decision(
     key: Option<Key>,
     upstream: Upstream,
-    what: What,
-    passed: SmallVec<[(Upstream, Passed); 4]>,
+    kind: What,
+    skipped: SmallVec<[(Upstream, SkipReason); 4]>,
     out: &mut Vec<Action>,
 ) {
-    out.push(Action::Note(Note { key, upstream, what, passed }));
+    out.push(Action::Note(Note { key, upstream, what: kind, passed: skipped }));
 }
--- a/crates/tgw-dispatch/src/leaf.rs
+++ b/crates/tgw-dispatch/src/leaf.rs
@@ -1,4 +1,4 @@
-//! Leaf requests, their outcomes and what upstreams reply.
+//! Leaf requests, their outcomes and the replies of upstreams.
 
 use bytes::Bytes;
 use derive_more::Display;
@@ -10,22 +10,23 @@
 /// The snapshots that an upstream holds.
 pub type Held = SmallVec<[Snapshot; 4]>;
 
-/// The snapshots that a group holds, and at how many of its upstreams that may be used.
+/// The snapshots that a group holds, each with the number of usable upstreams that hold it.
 pub type Stock = SmallVec<[(Snapshot, u8); 4]>;
 
-/// Tells an attempt at one shard of one query from every other, over all VMs and restarts.
+/// Identifies one attempt at one shard of one query, unique over all VMs and restarts.
 #[derive(
     Copy, Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[display("{query}/{shard}#{attempt}")]
 pub struct Key {
-    /// The VM that took the query in and waits for the outcome.
+    /// The entry VM, which received the query and waits for the outcome.
     pub from: Vm,
     /// The query.
     pub query: Query,
     /// The shard.
     pub shard: Shard,
-    /// The attempt, counted over the whole query from zero.
+    /// The number of the attempt within its shard. Restarts of the query skip ahead, so that it is
+    /// never reused.
     pub attempt: u8,
 }
 
@@ -34,59 +35,61 @@
 pub struct Leaf {
     /// Its identity.
     pub key: Key,
-    /// The only snapshot whose items may be returned.
+    /// The snapshot to search; items of any other one are rejected.
     pub snapshot: Snapshot,
-    /// When its outcome stops being of use.
+    /// When the caller no longer needs the outcome.
     pub deadline: Millis,
-    /// When it is given back if it still waits, because another group promises an earlier answer.
+    /// When it is returned to the entry VM if it is still queued, because another group is expected
+    /// to answer earlier.
     pub give_back: Option<Millis>,
-    /// What is searched for, opaque to the tier.
+    /// The search or order itself, opaque to the tier.
     pub body: Bytes,
-    /// Whether decisions about it are logged.
+    /// Whether dispatch decisions about it are logged.
     pub traced: bool,
-    /// What the upstream does for it.
+    /// The operation that the upstream performs.
     pub work: Work,
 }
 
-/// What an upstream does for a request.
+/// The operation that an upstream performs for a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Work {
     /// Searches a shard.
     Search,
-    /// Runs the order of this name, which must not be sent twice.
+    /// Runs the order of this name, at most once.
     Order(String),
 }
 
 impl Leaf {
-    /// Whether it must not be sent a second time once it may have been run.
+    /// Whether it is an order, which is not sent again once an upstream may have run it.
     pub fn once(&self) -> bool {
         matches!(self.work, Work::Order(_))
     }
 }
 
-/// What came of a leaf request, as the entry VM is told.
+/// The outcome of a leaf request, as reported to the entry VM.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The items of the shard in the snapshot that was asked for.
+    /// The items of the shard in the requested snapshot, or the result of an order.
     Items(#[serde(with = "tgw_topology::text")] Bytes),
-    /// No upstream of the group that could be asked holds the snapshot.
+    /// No upstream of the group that may be sent the request holds the snapshot.
     Gone,
-    /// Every upstream that could be asked shed the request.
+    /// Every upstream that may be sent the request shed it.
     Shed,
-    /// It waited for so long that another group promises an earlier answer; it was not sent.
+    /// It was queued for so long that another group is expected to answer earlier, or only ejected
+    /// upstreams were left; it was not sent.
     Crowded,
-    /// The attempts failed.
+    /// The last send failed and the request was not retried.
     Failed(Failure),
-    /// The deadline passed first.
+    /// The deadline passed before a reply.
     Expired,
-    /// The VM does not own the group; another may.
+    /// The VM does not own the group; the owner is named if known.
     Moved(Option<Vm>),
 }
 
-/// What an upstream replied to one request.
+/// The reply of an upstream to one request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Reply {
-    /// Items, with what the upstream says it served.
+    /// Items, with the snapshot and shard that the upstream says it searched.
     Items {
         /// The snapshot that was searched.
         snapshot: Snapshot,
@@ -96,39 +99,39 @@
         #[serde(with = "tgw_topology::text")]
         items: Bytes,
     },
-    /// It ran the order and answered this.
+    /// The upstream ran the order; the bytes are its result.
     Ran(#[serde(with = "tgw_topology::text")] Bytes),
-    /// It does not hold the snapshot.
+    /// The upstream does not hold the snapshot.
     Gone,
-    /// It refuses work for now.
+    /// The upstream is overloaded and rejected the request.
     Shed,
-    /// It is leaving and refuses new work.
+    /// The upstream is leaving and rejects new work.
     Draining,
-    /// It gave up at the deadline that was passed on.
+    /// The upstream stopped at the deadline sent with the request.
     Expired,
-    /// It stopped because it was asked to.
+    /// The upstream stopped because the request was cancelled.
     Cancelled,
 }
 
-/// Why a request brought no usable reply.
+/// Why a request has no usable reply.
 #[derive(Copy, Clone, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Failure {
-    /// No connection could be had.
+    /// No connection could be made.
     #[display("connect")]
     Connect,
-    /// The connection broke.
+    /// The connection closed before the reply was complete.
     #[display("closed")]
     Closed,
-    /// The reply could not be understood.
+    /// The reply could not be parsed, or was for another snapshot or shard.
     #[display("malformed")]
     Malformed,
-    /// The reply was larger than allowed.
+    /// The reply exceeded the size limit.
     #[display("oversized")]
     Oversized,
-    /// The upstream answered with an error of its own.
+    /// The upstream returned an error.
     #[display("upstream error")]
     Upstream,
-    /// No upstream of the group may be used.
+    /// No upstream of the group may be sent the request.
     #[display("no upstream")]
     NoUpstream,
 }
--- a/crates/tgw-dispatch/src/lib.rs
+++ b/crates/tgw-dispatch/src/lib.rs
@@ -1,25 +1,25 @@
 //! Dispatch of leaf requests to upstreams by the VM that owns their replica group.
 //!
-//! The owner keeps one queue a group in deadline order and binds a request to a replica only when
-//! that replica has a free slot, so that what waits never waits behind a straggler. It hedges what
-//! runs late within a budget, retries what failed, and stops placing on upstreams that are overdue,
-//! failing or leaving. Performs no I/O: events and the time go in, actions come out.
+//! The owner keeps one queue per replica group in deadline order and assigns a request to a replica
+//! only when that replica has a free slot, so that no request queues behind a straggler. It hedges
+//! late requests within a budget, retries failed ones, and sends no new work to upstreams that are
+//! overdue, failing or leaving. Performs no I/O: takes events and the time, returns actions.
 
-/// One replica group: its queue, running requests and upstreams.
+/// One replica group: its queue, in-flight requests and upstreams.
 mod group;
-/// What time alone brings about in a group: deadlines, lateness, hedges.
-mod late;
-/// Leaf requests, their outcomes and what upstreams reply.
+/// Health and latency estimate of one upstream.
+mod health;
+/// Leaf requests, their outcomes and the replies of upstreams.
 pub mod leaf;
-/// All groups that a VM owns.
+/// All replica groups that a VM owns.
 pub mod owner;
-/// Choice of an upstream for a leaf request.
+/// Policies that choose an upstream for a leaf request.
 pub mod pick;
-/// What the owner believes of one upstream.
-mod trust;
-/// What a group looks like to a policy, to the entry and to the log.
+/// Time-driven work of a group: deadlines, late requests, hedges.
+mod timeouts;
+/// State of a group as read by the policy, the entry VM and the log.
 mod view;
 
+pub use health::Rank;
 pub use leaf::{Leaf, Outcome};
 pub use owner::{Action, Event, Owner};
-pub use trust::Rank;
--- a/crates/tgw-dispatch/src/owner.rs
+++ b/crates/tgw-dispatch/src/owner.rs
@@ -1,7 +1,7 @@
-//! All groups that a VM owns.
+//! All replica groups that a VM owns.
 
 use crate::{
-    group::{Group, Pool},
+    group::{Group, ServiceContext},
     leaf::{Failure, Held, Key, Leaf, Outcome, Reply, Stock},
     pick::Policy,
 };
@@ -10,156 +10,156 @@
 use tgw_tail::Hedge;
 use tgw_topology::{Group as GroupId, Service, Snapshot, Upstream, catalog::Node};
 
-/// One sending of a request to an upstream.
+/// Identifies one send of a request to an upstream.
 pub type Ticket = u64;
 
-/// What the owner is told.
+/// Input of the owner.
 #[derive(Debug)]
 pub enum Event {
     /// A request for a shard of `group`; `replicas` hold the shard.
     Ask {
         /// The replica group.
         group: GroupId,
-        /// The replicas of the shard, whatever their group.
+        /// The replicas of the shard, in this and other groups.
         replicas: tgw_topology::catalog::Replicas,
         /// The request.
         leaf: Leaf,
     },
     /// The entry VM no longer wants the outcome.
     Cancel(Key),
-    /// A sending has ended.
+    /// A send has ended.
     Done {
-        /// The sending.
+        /// The send.
         ticket: Ticket,
-        /// The reply, or why there is none.
+        /// The reply, or the reason why there is none.
         result: Result<Reply, Failure>,
-        /// The snapshots that the upstream says it holds.
+        /// The snapshots that the upstream reports to hold.
         held: Option<Held>,
     },
-    /// Word that an upstream leaves, from whichever source.
+    /// An upstream is leaving, as reported by any source.
     Leaving(Upstream),
-    /// An upstream answers with another incarnation than before.
+    /// An upstream replied with another incarnation than before: its process was restarted.
     Restarted(Upstream),
-    /// An upstream's own word on the snapshots it holds.
+    /// The snapshots that an upstream reports to hold.
     Held(Upstream, Held),
-    /// Time has passed.
+    /// Periodic tick for deadlines, hedges and probes.
     Tick,
 }
 
-/// What must be done.
+/// Output of the owner, to be carried out by the caller.
 #[derive(Debug)]
 pub enum Action {
     /// Send a request to an upstream.
     Send {
-        /// Names the sending in [`Event::Done`].
+        /// Identifies the send in [`Event::Done`].
         ticket: Ticket,
         /// The upstream.
         upstream: Upstream,
         /// The request.
         leaf: Leaf,
     },
-    /// Ask an upstream to stop; [`Event::Done`] is still awaited.
+    /// Cancel a request on an upstream; [`Event::Done`] still follows.
     Abort {
-        /// The sending.
+        /// The send.
         ticket: Ticket,
         /// The upstream.
         upstream: Upstream,
     },
-    /// Tell the entry VM what came of a request.
+    /// Report the outcome of a request to the entry VM.
     Answer {
         /// The request.
         key: Key,
-        /// What came of it.
+        /// The outcome.
         outcome: Outcome,
         /// The snapshots that the group's upstreams hold, if known.
         stock: Option<Stock>,
-        /// Sendings beyond the first.
+        /// Sends beyond the first.
         extra: u8,
-        /// Time in the queue before the first sending.
+        /// Time in the queue before the first send.
         waited: Millis,
-        /// Requests that wait or run in the group, as a part of its slots.
+        /// Queued and in-flight requests of the group as a ratio of its slots.
         pressure: f32,
     },
-    /// A decision for the log.
+    /// Log a decision.
     Note(Note),
 }
 
-/// A decision for the log.
+/// A dispatch decision for the log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Note {
-    /// The request, where one is concerned.
+    /// The request, if the decision is about one.
     pub key: Option<Key>,
     /// The upstream.
     pub upstream: Upstream,
-    /// What was decided, and why.
+    /// The kind of decision.
     pub what: What,
-    /// Upstreams that were passed over, with the reason.
-    pub passed: smallvec::SmallVec<[(Upstream, Passed); 4]>,
+    /// Upstreams that were not chosen, with the reason.
+    pub passed: smallvec::SmallVec<[(Upstream, SkipReason); 4]>,
 }
 
-/// Why an upstream was passed over for a request.
+/// Why an upstream was not chosen for a request.
 #[derive(Copy, Clone, Debug, derive_more::Display, PartialEq, Eq)]
-pub enum Passed {
-    /// All of its slots that may be used are taken.
+pub enum SkipReason {
+    /// All of its usable slots are taken.
     #[display("busy")]
     Busy,
-    /// It is overdue or returns from being set aside.
+    /// A request on it is overdue, or its ejection has ended.
     #[display("suspect")]
     Suspect,
-    /// It is set aside after failures.
+    /// It was ejected after failures.
     #[display("ejected")]
     Ejected,
-    /// It leaves.
+    /// It is leaving.
     #[display("leaving")]
     Leaving,
     /// It does not hold the snapshot.
     #[display("snapshot not held")]
     Gone,
-    /// It was tried before.
+    /// An earlier send to it failed, or the request is bound to another upstream.
     #[display("tried")]
     Tried,
-    /// Another ranked better.
+    /// The policy preferred another upstream.
     #[display("ranked lower")]
     Lower,
 }
 
-/// What was decided.
+/// The kind of a dispatch decision.
 #[derive(Copy, Clone, Debug, derive_more::Display, PartialEq)]
 pub enum What {
     /// Sent for the first time.
     #[display("send")]
     Send,
-    /// Sent a second time because the first runs late.
+    /// Sent to a second upstream because the first is late.
     #[display("hedge")]
     Hedge,
-    /// Sent again because an earlier sending failed.
+    /// Sent again because an earlier send failed.
     #[display("retry")]
     Retry,
-    /// The upstream is no longer trusted: a request on it is overdue.
+    /// The upstream is suspected: a request on it is overdue.
     #[display("suspect")]
     Suspect,
-    /// The upstream is set aside after failures.
+    /// The upstream is ejected after failures.
     #[display("eject")]
     Eject,
-    /// The upstream leaves and gets no new work.
+    /// The upstream is leaving and gets no new work.
     #[display("leaving")]
     Leaving,
 }
 
-/// How the owner works.
+/// Dispatch options of a group.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Extra load allowed for hedges, as a part of all requests.
+    /// Budget of hedges, as a ratio of all requests.
     pub hedge: f64,
-    /// Extra load allowed for retries.
+    /// Budget of retries, as a ratio of all requests.
     pub retry: f64,
-    /// Most sendings of one request.
+    /// Most sends of one request.
     pub attempts: u8,
-    /// Stop placing on an upstream while its oldest request is overdue.
+    /// Suspect an upstream once its oldest request is overdue.
     pub suspect: bool,
-    /// Upstreams start cold and are ramped up.
+    /// Start new upstreams with a concurrency limit of one and raise it with each successful reply.
     pub ramp: bool,
-    /// A late request is hedged before waiting requests are placed.
+    /// Hedge late requests before queued requests are sent.
     pub hedge_first: bool,
 }
 
@@ -169,55 +169,57 @@
     }
 }
 
-/// The groups that a VM owns and dispatches to.
+/// The replica groups that a VM owns and dispatches to.
 pub struct Owner {
     groups: BTreeMap<GroupId, Group>,
-    /// The group of each sending, so that its end finds it.
+    /// The group of each send, looked up when the send ends.
     tickets: BTreeMap<Ticket, GroupId>,
-    /// The group of each request, so that its cancellation finds it.
+    /// The group of each request, looked up on cancellation.
     keys: BTreeMap<Key, GroupId>,
     upstreams: BTreeMap<Upstream, GroupId>,
-    next: Ticket,
+    next_ticket: Ticket,
     hedges: BTreeMap<Service, Hedge>,
-    make: Box<dyn Fn(GroupId) -> Box<dyn Policy> + Send>,
+    new_policy: Box<dyn Fn(GroupId) -> Box<dyn Policy> + Send>,
 }
 
 impl Owner {
-    /// An owner of nothing yet; `make` gives each group its policy.
-    pub fn new(make: Box<dyn Fn(GroupId) -> Box<dyn Policy> + Send>) -> Self {
+    /// An owner without groups; `new_policy` creates the policy of each group.
+    pub fn new(new_policy: Box<dyn Fn(GroupId) -> Box<dyn Policy> + Send>) -> Self {
         Self {
             groups: BTreeMap::new(),
             tickets: BTreeMap::new(),
             keys: BTreeMap::new(),
             upstreams: BTreeMap::new(),
-            next: 0,
+            next_ticket: 0,
             hedges: BTreeMap::new(),
-            make,
+            new_policy,
         }
     }
 
-    /// Starts to dispatch to `nodes` of a group, or takes over their new description.
+    /// Starts to dispatch to `nodes` of a group, or updates their description and the options.
     pub fn take(&mut self, id: GroupId, nodes: &[&Node], options: &Options) {
-        let make = &self.make;
-        let group = self.groups.entry(id).or_insert_with(|| Group::new(id, options, make(id)));
-        group.describe(nodes, options);
-        let fresh = || Hedge::new(options.hedge);
-        self.hedges.entry(id.service).or_insert_with(fresh).set_share(options.hedge);
+        let new_policy = &self.new_policy;
+        let group =
+            self.groups.entry(id).or_insert_with(|| Group::new(id, options, new_policy(id)));
+        group.update(nodes, options);
+        let new_hedge = || Hedge::new(options.hedge);
+        self.hedges.entry(id.service).or_insert_with(new_hedge).set_share(options.hedge);
         self.upstreams.extend(nodes.iter().map(|n| (n.id, id)));
     }
 
-    /// Sets the part of a group's slots that may be used, as while two VMs may both own it.
+    /// Sets the fraction of a group's slots that may be used, less than 1 while two VMs may both
+    /// own it.
     pub fn share(&mut self, id: GroupId, share: f64) {
         if let Some(group) = self.groups.get_mut(&id) {
-            group.share(share);
+            group.set_share(share);
         }
     }
 
-    /// Stops dispatching to a group: what waits is answered [`Outcome::Moved`] so that the entry
-    /// asks the new owner; what runs is finished here.
+    /// Stops dispatching to a group: queued requests are answered [`Outcome::Moved`], so that the
+    /// entry VM sends them to the new owner; in-flight requests are finished here.
     pub fn hand_over(&mut self, id: GroupId, to: Option<tgw_topology::Vm>, out: &mut Vec<Action>) {
         if let Some(group) = self.groups.get_mut(&id) {
-            for key in group.release() {
+            for key in group.take_queued() {
                 self.keys.remove(&key);
                 let outcome = Outcome::Moved(to);
                 let waited = Millis::ZERO;
@@ -233,41 +235,42 @@
         }
     }
 
-    /// Forgets a group that was handed over once nothing runs on it; true if it is gone.
+    /// Removes a group that was handed over, once it has no requests left; true if it is removed.
     pub fn forget(&mut self, id: GroupId) -> bool {
-        let idle = self.groups.get(&id).is_none_or(Group::idle);
-        if idle {
+        let is_idle = self.groups.get(&id).is_none_or(Group::is_idle);
+        if is_idle {
             self.groups.remove(&id);
             self.upstreams.retain(|_, group| *group != id);
         }
-        idle
+        is_idle
     }
 
     /// Whether the VM dispatches to a group.
-    pub fn has(&self, id: GroupId) -> bool {
+    pub fn owns(&self, id: GroupId) -> bool {
         self.groups.contains_key(&id)
     }
 
-    /// Requests that wait or run.
+    /// Queued and in-flight requests.
     pub fn pending(&self) -> usize {
         self.keys.len()
     }
 
-    /// Requests on an upstream now.
+    /// Requests in flight on an upstream.
     pub fn running(&self, upstream: Upstream) -> usize {
-        self.group_of(upstream).map_or(0, |g| g.running(upstream))
+        self.group_of(upstream).map_or(0, |g| g.in_flight(upstream))
     }
 
-    /// What is believed of an upstream: rank, snapshots, recent latency in milliseconds.
+    /// Estimate of an upstream: rank, snapshots, recent latency in milliseconds.
     pub fn belief(
         &self,
         now: Millis,
         upstream: Upstream,
     ) -> Option<(crate::Rank, Option<&Held>, f64)> {
-        self.group_of(upstream)?.belief(now, upstream)
+        self.group_of(upstream)?.estimate(now, upstream)
     }
 
-    /// Whether a snapshot is held by any upstream of a group, as far as is known.
+    /// Whether any upstream of a group holds a snapshot; one that has not reported its snapshots is
+    /// assumed to.
     pub fn holds(&self, id: GroupId, snapshot: Snapshot) -> bool {
         self.groups.get(&id).is_some_and(|g| g.holds(snapshot))
     }
@@ -276,11 +279,11 @@
         self.groups.get(self.upstreams.get(&upstream)?)
     }
 
-    /// Handles one event at `now` and appends what must be done.
+    /// Handles one event at `now` and appends the resulting actions.
     pub fn on(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
-        let from = out.len();
+        let first_new = out.len();
         match event {
-            Event::Ask { group, replicas, leaf } => self.ask(now, group, &replicas, leaf, out),
+            Event::Ask { group, replicas, leaf } => self.enqueue(now, group, &replicas, leaf, out),
             Event::Cancel(key) => {
                 if let Some(group) = self.keys.remove(&key).and_then(|g| self.groups.get_mut(&g)) {
                     group.cancel(key, out);
@@ -288,49 +291,49 @@
             }
             Event::Done { ticket, result, held } => {
                 let id = self.tickets.remove(&ticket);
-                if let Some((group, mut pool)) = id.and_then(|g| self.pooled(g)) {
-                    group.done(now, ticket, result, held, &mut pool, out);
+                if let Some((group, mut service)) = id.and_then(|g| self.with_service(g)) {
+                    group.finish_send(now, ticket, result, held, &mut service, out);
                 }
             }
             Event::Leaving(upstream) => {
                 if let Some(group) = self.group_mut(upstream) {
-                    group.leaving(now, upstream, out);
+                    group.mark_leaving(now, upstream, out);
                 }
             }
             Event::Restarted(upstream) => {
                 if let Some(group) = self.group_mut(upstream) {
-                    group.restarted(upstream);
+                    group.mark_restarted(upstream);
                 }
             }
             Event::Held(upstream, held) => {
                 if let Some(group) = self.group_mut(upstream) {
-                    group.set_held(upstream, held);
+                    group.set_snapshots(upstream, held);
                 }
             }
             Event::Tick => {
-                let (next, hedges) = (&mut self.next, &mut self.hedges);
+                let (next_ticket, hedges) = (&mut self.next_ticket, &mut self.hedges);
                 for (id, group) in &mut self.groups {
                     if let Some(hedge) = hedges.get_mut(&id.service) {
-                        group.tick(now, &mut Pool { next, hedge }, out);
+                        group.tick(now, &mut ServiceContext { next_ticket, hedge }, out);
                     }
                 }
             }
         }
-        self.index(&out[from..]);
+        self.update_lookups(&out[first_new..]);
     }
 
-    /// A group with what it shares with the others of its service.
-    fn pooled(&mut self, id: GroupId) -> Option<(&mut Group, Pool<'_>)> {
+    /// A group with the state that it shares with the other groups of its service.
+    fn with_service(&mut self, id: GroupId) -> Option<(&mut Group, ServiceContext<'_>)> {
         let group = self.groups.get_mut(&id)?;
         let hedge = self.hedges.get_mut(&id.service)?;
-        Some((group, Pool { next: &mut self.next, hedge }))
+        Some((group, ServiceContext { next_ticket: &mut self.next_ticket, hedge }))
     }
 
     fn group_mut(&mut self, upstream: Upstream) -> Option<&mut Group> {
         self.groups.get_mut(self.upstreams.get(&upstream)?)
     }
 
-    fn ask(
+    fn enqueue(
         &mut self,
         now: Millis,
         id: GroupId,
@@ -339,12 +342,12 @@
         out: &mut Vec<Action>,
     ) {
         let key = leaf.key;
-        let serves = self.groups.get(&id).is_some_and(|g| !g.released());
-        if serves {
+        let is_served = self.groups.get(&id).is_some_and(|g| !g.handed_over());
+        if is_served {
             self.keys.insert(key, id);
         }
-        match self.pooled(id).filter(|_| serves) {
-            Some((group, mut pool)) => group.ask(now, replicas, leaf, &mut pool, out),
+        match self.with_service(id).filter(|_| is_served) {
+            Some((group, mut service)) => group.enqueue(now, replicas, leaf, &mut service, out),
             None => out.push(Action::Answer {
                 key,
                 outcome: Outcome::Moved(None),
@@ -356,8 +359,8 @@
         }
     }
 
-    /// Keeps the look-ups from sendings and requests to groups in step with `actions`.
-    fn index(&mut self, actions: &[Action]) {
+    /// Updates the lookups from sends and requests to groups after `actions`.
+    fn update_lookups(&mut self, actions: &[Action]) {
         for action in actions {
             match action {
                 Action::Send { ticket, upstream, .. } => {
--- a/crates/tgw-dispatch/src/pick.rs
+++ b/crates/tgw-dispatch/src/pick.rs
@@ -1,36 +1,37 @@
-//! Choice of an upstream for a leaf request.
+//! Policies that choose an upstream for a leaf request.
 
 use crate::Rank;
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use tgw_clock::Millis;
 use tgw_topology::Upstream;
 
-/// One upstream that could serve a request.
+/// One upstream that may be sent a request.
 #[derive(Copy, Clone, Debug)]
 pub struct Candidate {
     /// The upstream.
     pub upstream: Upstream,
-    /// Whether a request may be sent to it now.
-    pub free: bool,
-    /// Requests that run on it or are bound to it.
-    pub load: usize,
+    /// Whether it has a free slot now.
+    pub has_free_slot: bool,
+    /// Requests in flight on it.
+    pub in_flight: usize,
     /// Recent latency of its replies in milliseconds.
-    pub latency: f64,
-    /// How far it is trusted.
+    pub latency_ms: f64,
+    /// Its rank by health.
     pub rank: Rank,
 }
 
-/// Chooses upstreams. The owner asks `bind` once as a request arrives, and `choose` each time a
-/// slot may be free for a request that is not bound.
+/// Chooses upstreams. The owner calls `bind` once when a request arrives, and `choose` among the
+/// eligible upstreams each time a slot may be free for it.
 pub trait Policy: Send {
-    /// The index of the upstream to which the request is bound at once; `None` leaves it unbound.
+    /// The index of the only upstream eligible for the request from now on; `None` keeps all.
     fn bind(&mut self, now: Millis, candidates: &[Candidate]) -> Option<usize>;
 
-    /// The index of the free upstream that gets the request; `None` lets it wait.
+    /// The index of the upstream with a free slot to send the request to; `None` keeps it queued.
     fn choose(&mut self, now: Millis, candidates: &[Candidate]) -> Option<usize>;
 }
 
-/// Binds late: the best ranked free upstream with the least load, then the lowest latency.
+/// Late binding: waits for a free slot, then takes the upstream with the best rank, the fewest
+/// requests in flight and the lowest latency, in this order.
 #[derive(Debug, Default)]
 pub struct Late;
 
@@ -44,13 +45,14 @@
     }
 }
 
-/// Binds at once to the upstream with the least product of load and latency.
+/// Early binding to the best ranked upstream with the least product of requests in flight and
+/// latency.
 #[derive(Debug, Default)]
 pub struct Least;
 
 impl Policy for Least {
     fn bind(&mut self, _now: Millis, candidates: &[Candidate]) -> Option<usize> {
-        let cost = |c: &Candidate| (c.load + 1) as f64 * c.latency.max(0.1);
+        let cost = |c: &Candidate| (c.in_flight + 1) as f64 * c.latency_ms.max(0.1);
         let best = candidates
             .iter()
             .enumerate()
@@ -63,12 +65,12 @@
     }
 }
 
-/// Binds at once to a random upstream.
+/// Early binding to a random upstream.
 #[derive(Debug)]
 pub struct Random(SmallRng);
 
 impl Random {
-    /// The same `seed` gives the same choices.
+    /// A policy whose choices are determined by `seed`.
     pub fn seeded(seed: u64) -> Self {
         Self(SmallRng::seed_from_u64(seed))
     }
@@ -84,7 +86,7 @@
     }
 }
 
-/// Binds at once to each upstream in turn.
+/// Early binding to each upstream in turn.
 #[derive(Debug, Default)]
 pub struct RoundRobin(usize);
 
@@ -100,13 +102,15 @@
 }
 
 fn best_free(candidates: &[Candidate]) -> Option<usize> {
-    // While the others are busy, an upstream that is set aside is free; it would take what waits and
-    // fail it, and each failure costs a retry. It is used only where there is no other.
-    let floor = candidates.iter().all(|c| c.rank >= Rank::Ejected);
-    let usable = |c: &Candidate| c.free && (floor || c.rank < Rank::Ejected);
+    // While the other upstreams are busy, an ejected one has free slots: it would take the queued
+    // requests and fail them, at the cost of a retry each. It is used only if there is no other.
+    let only_ejected = candidates.iter().all(|c| c.rank >= Rank::Ejected);
+    let usable = |c: &Candidate| c.has_free_slot && (only_ejected || c.rank < Rank::Ejected);
     let free = candidates.iter().enumerate().filter(|(_, c)| usable(c));
     let best = free.min_by(|(_, a), (_, b)| {
-        (a.rank, a.load).cmp(&(b.rank, b.load)).then(a.latency.total_cmp(&b.latency))
+        (a.rank, a.in_flight)
+            .cmp(&(b.rank, b.in_flight))
+            .then(a.latency_ms.total_cmp(&b.latency_ms))
     });
     best.map(|(index, _)| index)
 }
--- a/crates/tgw-dispatch/src/view.rs
+++ b/crates/tgw-dispatch/src/view.rs
@@ -1,103 +1,107 @@
 use crate::{
     group::{Group, Task},
+    health::{Health, Rank},
     leaf::Stock,
-    owner::Passed,
+    owner::SkipReason,
     pick::Candidate,
-    trust::{Rank, Trust},
 };
 use smallvec::SmallVec;
 use tgw_clock::Millis;
 use tgw_topology::Upstream;
 
-/// Waiting requests for each trusted slot above which suspects are used without a pause.
-const PRESSED: usize = 1;
-/// The pressure of a group without a trusted upstream.
-const UNFIT: f32 = 4.0;
+/// Queued requests per trusted slot above which suspects are used without spacing probes.
+const OVERLOAD_REQUESTS_PER_SLOT: usize = 1;
+/// Load ratio of a group without a trusted upstream, to which each of its requests adds one.
+const NO_TRUSTED_UPSTREAM_LOAD_RATIO: f32 = 4.0;
 
 impl Group {
-    /// Whether another group should be asked at once: every upstream that could serve the request is
-    /// set aside after failures. A group that fails at once looks fast and empty, and would draw
+    /// Whether the request should go to another group at once, because every upstream eligible for
+    /// it is ejected or leaving. A group that fails fast looks fast and idle, and would attract
     /// ever more requests.
-    pub(crate) fn unfit(&self, now: Millis, number: u64) -> bool {
-        let Some(task) = self.tasks.get(&number) else { return false };
-        let set_aside = |i: &usize| self.upstreams[*i].rank(now) >= Rank::Ejected;
-        task.leaf.give_back.is_some() && task.eligible.iter().all(set_aside)
+    pub(crate) fn should_return_now(&self, now: Millis, task_id: u64) -> bool {
+        let Some(task) = self.tasks.get(&task_id) else { return false };
+        let is_ejected = |i: &usize| self.upstreams[*i].rank(now) >= Rank::Ejected;
+        task.leaf.give_back.is_some() && task.eligible.iter().all(is_ejected)
     }
 
-    /// Whether more waits than the trusted upstreams can soon serve.
-    pub(crate) fn pressed(&self) -> bool {
-        let trusted = self.upstreams.iter().filter(|u| u.trusted());
+    /// Whether more requests are queued than the trusted upstreams can soon serve.
+    pub(crate) fn is_overloaded(&self) -> bool {
+        let trusted = self.upstreams.iter().filter(|u| u.is_trusted());
         let slots: usize = trusted.map(|u| usize::from(u.slots)).sum();
-        self.queue.len() > slots * PRESSED
+        self.queue.len() > slots * OVERLOAD_REQUESTS_PER_SLOT
     }
 
-    /// Requests that wait or run, as a part of the slots that may be used.
-    pub(crate) fn pressure(&self, now: Millis) -> f32 {
+    /// Queued and in-flight requests as a ratio of the usable slots.
+    pub(crate) fn load_ratio(&self, now: Millis) -> f32 {
         let usable = self.upstreams.iter().filter(|u| u.rank(now) == Rank::Trusted);
-        let slots: f64 = usable.map(|u| f64::from(u.slots) * self.share).sum();
+        let slots: f64 = usable.map(|u| f64::from(u.slots) * self.slot_share).sum();
         if slots == 0.0 {
-            return UNFIT + self.tasks.len() as f32;
+            return NO_TRUSTED_UPSTREAM_LOAD_RATIO + self.tasks.len() as f32;
         }
         (self.tasks.len() as f64 / slots) as f32
     }
 
-    /// The snapshots held by upstreams that may be used; `None` while nothing is known. An upstream
-    /// that has not told what it holds counts for each snapshot that another does.
-    pub(crate) fn stock(&self) -> Option<Stock> {
-        let usable = || self.upstreams.iter().filter(|u| !u.leaving());
-        let mut stock = Stock::new();
-        for snapshot in usable().filter_map(Trust::held).flatten() {
-            if !stock.iter().any(|(s, _)| s == snapshot) {
+    /// The snapshots held by usable upstreams, with counts; `None` while no upstream has reported
+    /// its snapshots. One that has not reported is counted as a holder of each snapshot of the
+    /// others.
+    pub(crate) fn snapshot_counts(&self) -> Option<Stock> {
+        let usable = || self.upstreams.iter().filter(|u| !u.is_leaving());
+        let mut snapshot_counts = Stock::new();
+        for snapshot in usable().filter_map(Health::snapshots).flatten() {
+            if !snapshot_counts.iter().any(|(s, _)| s == snapshot) {
                 let count = usable().filter(|u| u.holds(*snapshot)).count();
-                stock.push((*snapshot, count as u8));
+                snapshot_counts.push((*snapshot, count as u8));
             }
         }
-        let known = usable().any(|u| u.held().is_some());
-        known.then_some(stock)
+        let known = usable().any(|u| u.snapshots().is_some());
+        known.then_some(snapshot_counts)
     }
 
-    /// The upstreams that may be sent a request: eligible, holding its snapshot, not running it.
+    /// The upstreams that may be sent a request: eligible, holding its snapshot, and without
+    /// another send of it in flight.
     pub(crate) fn usable(&self, task: &Task) -> SmallVec<[usize; 4]> {
-        let fits = |i: &&usize| {
+        let may_send = |i: &&usize| {
             let upstream = &self.upstreams[**i];
-            !upstream.leaving()
+            !upstream.is_leaving()
                 && (task.leaf.once() || upstream.holds(task.leaf.snapshot))
-                && !task.runs.iter().any(|(_, running)| running == *i)
+                && !task.in_flight.iter().any(|(_, in_flight_on)| in_flight_on == *i)
         };
-        task.eligible.iter().filter(fits).copied().collect()
+        task.eligible.iter().filter(may_send).copied().collect()
     }
 
     pub(crate) fn candidates(&self, now: Millis, indices: &[usize]) -> SmallVec<[Candidate; 4]> {
-        let pressed = self.pressed();
-        let view = |i: &usize| {
+        let overloaded = self.is_overloaded();
+        let candidate = |i: &usize| {
             let upstream = &self.upstreams[*i];
             Candidate {
                 upstream: upstream.id,
-                free: upstream.free(now, self.share, pressed),
-                load: upstream.runs.len(),
-                latency: upstream.latency.get(),
+                has_free_slot: upstream.has_free_slot(now, self.slot_share, overloaded),
+                in_flight: upstream.in_flight.len(),
+                latency_ms: upstream.latency_ms.get(),
                 rank: upstream.rank(now),
             }
         };
-        indices.iter().map(view).collect()
+        indices.iter().map(candidate).collect()
     }
 
-    pub(crate) fn passed(
+    pub(crate) fn skipped(
         &self,
         now: Millis,
-        number: u64,
+        task_id: u64,
         chosen: usize,
-    ) -> SmallVec<[(Upstream, Passed); 4]> {
-        let pressed = self.pressed();
-        let Some(task) = self.tasks.get(&number) else { return SmallVec::new() };
-        let reason = |index: usize, upstream: &Trust| match upstream.rank(now) {
-            Rank::Leaving => Passed::Leaving,
-            _ if !upstream.holds(task.leaf.snapshot) => Passed::Gone,
-            _ if !task.eligible.contains(&index) => Passed::Tried,
-            Rank::Ejected => Passed::Ejected,
-            Rank::Suspect => Passed::Suspect,
-            Rank::Trusted if upstream.free(now, self.share, pressed) => Passed::Lower,
-            Rank::Trusted => Passed::Busy,
+    ) -> SmallVec<[(Upstream, SkipReason); 4]> {
+        let overloaded = self.is_overloaded();
+        let Some(task) = self.tasks.get(&task_id) else { return SmallVec::new() };
+        let reason = |index: usize, upstream: &Health| match upstream.rank(now) {
+            Rank::Leaving => SkipReason::Leaving,
+            _ if !upstream.holds(task.leaf.snapshot) => SkipReason::Gone,
+            _ if !task.eligible.contains(&index) => SkipReason::Tried,
+            Rank::Ejected => SkipReason::Ejected,
+            Rank::Suspect => SkipReason::Suspect,
+            Rank::Trusted if upstream.has_free_slot(now, self.slot_share, overloaded) => {
+                SkipReason::Lower
+            }
+            Rank::Trusted => SkipReason::Busy,
         };
         self.upstreams
             .iter()
--- a/crates/tgw-dispatch/tests/dispatch.rs
+++ b/crates/tgw-dispatch/tests/dispatch.rs
@@ -34,22 +34,22 @@
     }
 }
 
-/// An owner of one group of three upstreams, and what it did last.
-struct Bench {
+/// An owner of one group of three upstreams, and its actions that no assertion has consumed yet.
+struct Fixture {
     owner: Owner,
     now: Millis,
-    number: u64,
+    last_query: u64,
     out: Vec<Action>,
 }
 
-impl Bench {
+impl Fixture {
     fn new() -> Self {
         let mut owner = Owner::new(Box::new(|_| Box::new(Late)));
         let nodes = [node(0), node(1), node(2)];
         let nodes: Vec<&Node> = nodes.iter().collect();
         let options = Options { hedge: 0.5, ..Options::default() };
         owner.take(GROUP, &nodes, &options);
-        Self { owner, now: Millis::new(1), number: 0, out: Vec::new() }
+        Self { owner, now: Millis::new(1), last_query: 0, out: Vec::new() }
     }
 
     fn on(&mut self, event: Event) {
@@ -57,8 +57,8 @@
     }
 
     fn leaf(&mut self, work: Work, give_back: Option<Millis>) -> Leaf {
-        self.number += 1;
-        let query = Query { incarnation: 1, number: self.number };
+        self.last_query += 1;
+        let query = Query { incarnation: 1, number: self.last_query };
         Leaf {
             key: Key { from: Vm(1), query, shard: Shard(0), attempt: 0 },
             snapshot: SNAPSHOT,
@@ -70,7 +70,7 @@
         }
     }
 
-    fn ask(&mut self, work: Work) -> Key {
+    fn submit(&mut self, work: Work) -> Key {
         let leaf = self.leaf(work, None);
         let key = leaf.key;
         let replicas = (0..3).map(Upstream).collect();
@@ -79,49 +79,49 @@
     }
 
     fn search(&mut self) -> Key {
-        self.ask(Work::Search)
+        self.submit(Work::Search)
     }
 
-    /// Sendings since the last call: ticket and upstream.
-    fn sent(&mut self) -> Vec<(u64, Upstream)> {
-        let sent = self.out.iter().filter_map(|a| match a {
+    /// The sends since the last call: ticket and upstream.
+    fn take_sends(&mut self) -> Vec<(u64, Upstream)> {
+        let sends = self.out.iter().filter_map(|a| match a {
             Action::Send { ticket, upstream, .. } => Some((*ticket, *upstream)),
             _ => None,
         });
-        let sent = sent.collect();
+        let sends = sends.collect();
         self.out.retain(|a| !matches!(a, Action::Send { .. }));
-        sent
+        sends
     }
 
-    fn answers(&mut self) -> Vec<Outcome> {
-        let answers = self.out.iter().filter_map(|a| match a {
+    fn take_outcomes(&mut self) -> Vec<Outcome> {
+        let outcomes = self.out.iter().filter_map(|a| match a {
             Action::Answer { outcome, .. } => Some(outcome.clone()),
             _ => None,
         });
-        let answers = answers.collect();
+        let outcomes = outcomes.collect();
         self.out.retain(|a| !matches!(a, Action::Answer { .. }));
-        answers
+        outcomes
     }
 
-    fn done(&mut self, ticket: u64, result: Result<Reply, Failure>) {
+    fn finish_send(&mut self, ticket: u64, result: Result<Reply, Failure>) {
         self.on(Event::Done { ticket, result, held: None });
     }
 
-    fn items(&mut self, ticket: u64) {
+    fn reply_items(&mut self, ticket: u64) {
         let items = Bytes::from_static(b"[]");
-        self.done(ticket, Ok(Reply::Items { snapshot: SNAPSHOT, shard: Shard(0), items }));
+        self.finish_send(ticket, Ok(Reply::Items { snapshot: SNAPSHOT, shard: Shard(0), items }));
     }
 
-    /// Runs `count` quick searches, so that the owner learns what is late.
-    fn learn(&mut self, count: u32) {
+    /// Runs `count` searches of 4 ms, from which the owner learns its hedge delay.
+    fn learn_latency(&mut self, count: u32) {
         for _ in 0..count {
             self.search();
             self.now += Millis::new(4);
-            for (ticket, _) in self.sent() {
-                self.items(ticket);
+            for (ticket, _) in self.take_sends() {
+                self.reply_items(ticket);
             }
         }
-        self.answers();
+        self.take_outcomes();
     }
 
     fn tick(&mut self, ms: u64) {
@@ -138,130 +138,138 @@
 
 #[test]
 fn slots_are_filled_and_never_exceeded() {
-    let mut bench = Bench::new();
+    let mut fixture = Fixture::new();
     for _ in 0..20 {
-        bench.search();
+        fixture.search();
     }
-    assert_eq!(bench.sent().len(), usize::from(3 * SLOTS));
+    assert_eq!(fixture.take_sends().len(), usize::from(3 * SLOTS));
     for upstream in 0..3 {
-        assert_eq!(bench.owner.running(Upstream(upstream)), usize::from(SLOTS));
+        assert_eq!(fixture.owner.running(Upstream(upstream)), usize::from(SLOTS));
     }
 }
 
-// A search waits behind a straggler although another replica is free: it was bound to the straggler
-// when it came.
+// Guards against early binding: a search queued behind a straggler, to which it was bound on
+// arrival, while another replica is free.
 #[test]
-fn what_waits_goes_to_whichever_replica_is_free_first() {
-    let mut bench = Bench::new();
+fn queued_request_goes_to_the_first_free_replica() {
+    let mut fixture = Fixture::new();
     for _ in 0..7 {
-        bench.search();
+        fixture.search();
     }
-    let sent = bench.sent();
-    let (ticket, free) = sent[3];
-    bench.items(ticket);
-    let next = bench.sent();
-    assert_eq!(next.len(), 1);
-    assert_eq!(next[0].1, free);
+    let sends = fixture.take_sends();
+    let (ticket, free_replica) = sends[3];
+    fixture.reply_items(ticket);
+    let next_sends = fixture.take_sends();
+    assert_eq!(next_sends.len(), 1);
+    assert_eq!(next_sends[0].1, free_replica);
 }
 
-// The straggler shard sets the latency of the whole search.
+// Without a hedge, the shard on a straggler determines the latency of the whole search.
 #[test]
-fn late_request_is_hedged_once_and_the_loser_stopped() {
-    let mut bench = Bench::new();
-    bench.learn(400);
-    bench.search();
-    let first = bench.sent()[0];
-    bench.tick(40);
-    let hedge = bench.sent();
+fn late_request_is_hedged_once_and_the_slower_send_cancelled() {
+    let mut fixture = Fixture::new();
+    fixture.learn_latency(400);
+    fixture.search();
+    let first = fixture.take_sends()[0];
+    fixture.tick(40);
+    let hedge = fixture.take_sends();
     assert_eq!(hedge.len(), 1, "hedged once");
     assert_ne!(hedge[0].1, first.1, "on another replica");
-    bench.items(hedge[0].0);
-    assert_eq!(bench.answers().len(), 1);
-    let stopped = |a: &Action| matches!(a, Action::Abort { ticket, .. } if *ticket == first.0);
-    assert!(bench.out.iter().any(stopped), "the loser is stopped");
-    bench.items(first.0);
-    assert!(bench.answers().is_empty(), "its late reply answers nothing");
+    fixture.reply_items(hedge[0].0);
+    assert_eq!(fixture.take_outcomes().len(), 1);
+    let cancelled = |a: &Action| matches!(a, Action::Abort { ticket, .. } if *ticket == first.0);
+    assert!(fixture.out.iter().any(cancelled), "the slower send is cancelled");
+    fixture.reply_items(first.0);
+    assert!(fixture.take_outcomes().is_empty(), "the late reply of the cancelled send is ignored");
 }
 
-// While a straggler is slow, every free slot of it draws another request that will be late.
+// Each free slot of a straggler would otherwise attract another request that will be late.
 #[test]
 fn overdue_upstream_gets_no_new_work_while_others_are_free() {
-    let mut bench = Bench::new();
-    bench.learn(400);
-    bench.search();
-    let slow = bench.sent()[0].1;
-    bench.tick(40);
-    assert_eq!(bench.rank(slow.0), Rank::Suspect);
-    bench.sent();
+    let mut fixture = Fixture::new();
+    fixture.learn_latency(400);
+    fixture.search();
+    let straggler = fixture.take_sends()[0].1;
+    fixture.tick(40);
+    assert_eq!(fixture.rank(straggler.0), Rank::Suspect);
+    fixture.take_sends();
     for _ in 0..3 {
-        bench.search();
+        fixture.search();
     }
-    assert!(bench.sent().iter().all(|(_, upstream)| *upstream != slow));
+    assert!(fixture.take_sends().iter().all(|(_, upstream)| *upstream != straggler));
 }
 
-// Two of three replicas fail at once; while the third is busy the failed ones look free, take what
-// waits and fail it, and half of the shards are missing although one replica could serve all.
+// Two of three replicas fail requests at once. While the third is busy, the failing ones have free
+// slots: if they got the queued requests they would fail them, and half of the shards would be
+// missing although one replica could serve all.
 #[test]
-fn failed_upstreams_are_not_used_while_another_is_busy() {
-    let mut bench = Bench::new();
+fn ejected_upstreams_get_no_requests_while_another_is_busy() {
+    let mut fixture = Fixture::new();
     for _ in 0..12 {
-        bench.search();
+        fixture.search();
     }
-    let mut sent = bench.sent();
-    while let Some((ticket, upstream)) = sent.pop() {
+    let mut sends = fixture.take_sends();
+    while let Some((ticket, upstream)) = sends.pop() {
         match upstream.0 {
-            0 => bench.items(ticket),
-            _ => bench.done(ticket, Err(Failure::Closed)),
+            0 => fixture.reply_items(ticket),
+            _ => fixture.finish_send(ticket, Err(Failure::Closed)),
         }
-        sent.extend(bench.sent());
+        sends.extend(fixture.take_sends());
     }
-    assert_eq!((bench.rank(1), bench.rank(2)), (Rank::Ejected, Rank::Ejected));
-    bench.answers();
+    assert_eq!((fixture.rank(1), fixture.rank(2)), (Rank::Ejected, Rank::Ejected));
+    fixture.take_outcomes();
     for _ in 0..6 {
-        bench.search();
+        fixture.search();
     }
-    let sent = bench.sent();
-    assert!(sent.iter().all(|(_, u)| u.0 == 0), "{sent:?}");
-    assert_eq!(sent.len(), usize::from(SLOTS));
+    let sends = fixture.take_sends();
+    assert!(sends.iter().all(|(_, u)| u.0 == 0), "{sends:?}");
+    assert_eq!(sends.len(), usize::from(SLOTS));
 }
 
-// An upstream that said it is leaving still gets work, as its health endpoint says it is well.
+// A leaving upstream must get no work although its health endpoint still reports it healthy.
 #[test]
-fn leaving_upstream_gets_nothing_whatever_else_is_said() {
-    let mut bench = Bench::new();
-    bench.on(Event::Leaving(Upstream(1)));
-    bench.on(Event::Held(Upstream(1), [SNAPSHOT].into_iter().collect()));
+fn leaving_upstream_gets_no_requests_until_it_restarts() {
+    let mut fixture = Fixture::new();
+    fixture.on(Event::Leaving(Upstream(1)));
+    fixture.on(Event::Held(Upstream(1), [SNAPSHOT].into_iter().collect()));
     for _ in 0..20 {
-        bench.search();
+        fixture.search();
     }
-    assert!(bench.sent().iter().all(|(_, upstream)| upstream.0 != 1));
-    bench.on(Event::Restarted(Upstream(1)));
-    bench.tick(1);
-    assert!(bench.sent().iter().any(|(_, upstream)| upstream.0 == 1), "a new process is well");
+    assert!(fixture.take_sends().iter().all(|(_, upstream)| upstream.0 != 1));
+    fixture.on(Event::Restarted(Upstream(1)));
+    fixture.tick(1);
+    assert!(
+        fixture.take_sends().iter().any(|(_, upstream)| upstream.0 == 1),
+        "a restarted upstream gets requests"
+    );
 }
 
-// The reply of a request for another snapshot or shard is merged into the answer.
+// A reply for another snapshot or shard than requested must not be merged into the answer.
 #[test]
-fn reply_for_another_snapshot_or_shard_is_no_item() {
-    let mut bench = Bench::new();
-    bench.search();
+fn reply_for_another_snapshot_or_shard_is_rejected() {
+    let mut fixture = Fixture::new();
+    fixture.search();
     for (snapshot, shard) in [
         (Snapshot { version: 2, ..SNAPSHOT }, Shard(0)),
         (SNAPSHOT, Shard(1)),
         (Snapshot { layout: Layout(2), ..SNAPSHOT }, Shard(0)),
     ] {
-        let (ticket, _) = bench.sent()[0];
+        let (ticket, _) = fixture.take_sends()[0];
         let items = Bytes::from_static(b"[1]");
-        bench.done(ticket, Ok(Reply::Items { snapshot, shard, items }));
+        fixture.finish_send(ticket, Ok(Reply::Items { snapshot, shard, items }));
     }
     let failed = Outcome::Failed(Failure::Malformed);
-    assert_eq!(bench.answers(), [failed], "each cost one attempt, none became an item");
+    assert_eq!(
+        fixture.take_outcomes(),
+        [failed],
+        "each reply cost one attempt and none was accepted"
+    );
 }
 
-// A work order goes out twice: its connection broke after it was sent, and it was retried.
+// An order would run twice if it were retried after its connection closed, as it may have been run.
 #[test]
-fn order_is_sent_again_only_if_it_was_certainly_not_run() {
-    for (result, again) in [
+fn order_is_resent_only_if_it_cannot_have_run() {
+    for (result, resent) in [
         (Err(Failure::Closed), false),
         (Err(Failure::Malformed), false),
         (Err(Failure::Upstream), false),
@@ -269,100 +277,104 @@
         (Ok(Reply::Shed), true),
         (Ok(Reply::Draining), true),
     ] {
-        let mut bench = Bench::new();
-        bench.ask(Work::Order("o".into()));
-        let (ticket, _) = bench.sent()[0];
-        bench.done(ticket, result.clone());
-        assert_eq!(!bench.sent().is_empty(), again, "{result:?}");
-        assert_eq!(bench.answers().is_empty(), again, "{result:?}");
+        let mut fixture = Fixture::new();
+        fixture.submit(Work::Order("o".into()));
+        let (ticket, _) = fixture.take_sends()[0];
+        fixture.finish_send(ticket, result.clone());
+        assert_eq!(!fixture.take_sends().is_empty(), resent, "{result:?}");
+        assert_eq!(fixture.take_outcomes().is_empty(), resent, "{result:?}");
     }
 }
 
-// An order that runs long is hedged like a search, and two brigades set out.
+// An order would run twice if a long one were hedged like a search.
 #[test]
-fn order_is_never_hedged_nor_stopped() {
-    let mut bench = Bench::new();
-    bench.learn(400);
-    bench.ask(Work::Order("o".into()));
-    assert_eq!(bench.sent().len(), 1);
-    bench.tick(2000);
-    assert!(bench.sent().is_empty());
-    assert!(!bench.out.iter().any(|a| matches!(a, Action::Abort { .. })));
-    assert_eq!(bench.answers(), [Outcome::Failed(Failure::Closed)], "past its deadline: unknown");
+fn order_is_never_hedged_or_cancelled() {
+    let mut fixture = Fixture::new();
+    fixture.learn_latency(400);
+    fixture.submit(Work::Order("o".into()));
+    assert_eq!(fixture.take_sends().len(), 1);
+    fixture.tick(2000);
+    assert!(fixture.take_sends().is_empty());
+    assert!(!fixture.out.iter().any(|a| matches!(a, Action::Abort { .. })));
+    assert_eq!(
+        fixture.take_outcomes(),
+        [Outcome::Failed(Failure::Closed)],
+        "it may have run when its deadline passed"
+    );
 }
 
 #[test]
-fn order_that_never_left_the_queue_has_not_run() {
-    let mut bench = Bench::new();
+fn order_that_expires_in_the_queue_is_reported_as_not_run() {
+    let mut fixture = Fixture::new();
     for _ in 0..6 {
-        bench.search();
+        fixture.search();
     }
-    bench.sent();
-    bench.ask(Work::Order("o".into()));
-    bench.tick(1200);
-    assert!(bench.answers().contains(&Outcome::Expired));
+    fixture.take_sends();
+    fixture.submit(Work::Order("o".into()));
+    fixture.tick(1200);
+    assert!(fixture.take_outcomes().contains(&Outcome::Expired));
 }
 
 #[test]
-fn request_is_given_back_when_its_patience_ends() {
-    let mut bench = Bench::new();
+fn request_is_returned_when_its_queue_deadline_passes() {
+    let mut fixture = Fixture::new();
     for _ in 0..6 {
-        bench.search();
+        fixture.search();
     }
-    let patience = bench.now + Millis::new(5);
-    let leaf = bench.leaf(Work::Search, Some(patience));
+    let queue_deadline = fixture.now + Millis::new(5);
+    let leaf = fixture.leaf(Work::Search, Some(queue_deadline));
     let replicas = (0..3).map(Upstream).collect();
-    bench.on(Event::Ask { group: GROUP, replicas, leaf });
-    bench.tick(4);
-    assert!(bench.answers().is_empty());
-    bench.tick(2);
-    assert_eq!(bench.answers(), [Outcome::Crowded]);
+    fixture.on(Event::Ask { group: GROUP, replicas, leaf });
+    fixture.tick(4);
+    assert!(fixture.take_outcomes().is_empty());
+    fixture.tick(2);
+    assert_eq!(fixture.take_outcomes(), [Outcome::Crowded]);
 }
 
 #[test]
-fn handed_over_group_passes_on_what_waits_and_finishes_what_runs() {
-    let mut bench = Bench::new();
+fn handed_over_group_moves_queued_and_finishes_in_flight_requests() {
+    let mut fixture = Fixture::new();
     for _ in 0..8 {
-        bench.search();
+        fixture.search();
     }
-    let running = bench.sent();
+    let in_flight = fixture.take_sends();
     let mut out = Vec::new();
-    bench.owner.hand_over(GROUP, Some(Vm(2)), &mut out);
-    bench.out.extend(out);
-    assert_eq!(bench.answers(), [Outcome::Moved(Some(Vm(2))), Outcome::Moved(Some(Vm(2)))]);
-    assert!(!bench.owner.forget(GROUP), "something still runs");
-    for (ticket, _) in running {
-        bench.items(ticket);
+    fixture.owner.hand_over(GROUP, Some(Vm(2)), &mut out);
+    fixture.out.extend(out);
+    assert_eq!(fixture.take_outcomes(), [Outcome::Moved(Some(Vm(2))), Outcome::Moved(Some(Vm(2)))]);
+    assert!(!fixture.owner.forget(GROUP), "requests are in flight");
+    for (ticket, _) in in_flight {
+        fixture.reply_items(ticket);
     }
-    assert_eq!(bench.answers().len(), 6, "nothing that ran was cut");
-    assert!(bench.owner.forget(GROUP));
+    assert_eq!(fixture.take_outcomes().len(), 6, "every request in flight was finished");
+    assert!(fixture.owner.forget(GROUP));
 }
 
 #[test]
-fn snapshot_that_nobody_holds_is_told_at_once() {
-    let mut bench = Bench::new();
-    let other: Held = [Snapshot { version: 9, ..SNAPSHOT }].into_iter().collect();
+fn request_for_a_snapshot_without_holder_fails_at_once() {
+    let mut fixture = Fixture::new();
+    let other_snapshot: Held = [Snapshot { version: 9, ..SNAPSHOT }].into_iter().collect();
     for upstream in 0..3 {
-        bench.on(Event::Held(Upstream(upstream), other.clone()));
+        fixture.on(Event::Held(Upstream(upstream), other_snapshot.clone()));
     }
-    bench.search();
-    assert_eq!(bench.answers(), [Outcome::Gone]);
-    assert!(bench.sent().is_empty(), "it cost no upstream anything");
+    fixture.search();
+    assert_eq!(fixture.take_outcomes(), [Outcome::Gone]);
+    assert!(fixture.take_sends().is_empty(), "nothing was sent to an upstream");
 }
 
-// A search waits for its whole deadline: it stood in the queue while the last replica that held its
-// snapshot let it go.
+// A queued search would otherwise wait until its deadline when the last replica that held its
+// snapshot releases it.
 #[test]
-fn what_waits_for_a_snapshot_that_goes_is_told_at_once() {
-    let mut bench = Bench::new();
+fn queued_request_fails_at_once_when_its_snapshot_is_released() {
+    let mut fixture = Fixture::new();
     for _ in 0..7 {
-        bench.search();
+        fixture.search();
     }
-    bench.sent();
-    let other: Held = [Snapshot { version: 9, ..SNAPSHOT }].into_iter().collect();
+    fixture.take_sends();
+    let other_snapshot: Held = [Snapshot { version: 9, ..SNAPSHOT }].into_iter().collect();
     for upstream in 0..3 {
-        bench.on(Event::Held(Upstream(upstream), other.clone()));
+        fixture.on(Event::Held(Upstream(upstream), other_snapshot.clone()));
     }
-    bench.tick(1);
-    assert_eq!(bench.answers(), [Outcome::Gone]);
+    fixture.tick(1);
+    assert_eq!(fixture.take_outcomes(), [Outcome::Gone]);
 }
