--- a/crates/tgw-query/src/answer.rs
+++ b/crates/tgw-query/src/answer.rs
@@ -1,4 +1,4 @@
-//! What a caller is told.
+//! Answers and refusals to callers.
 
 use bytes::Bytes;
 use derive_more::Display;
@@ -6,40 +6,40 @@
 use tgw_clock::Millis;
 use tgw_topology::{Query, Shard, Snapshot};
 
-/// Why a shard is not in an answer.
+/// Why a shard is missing from an answer.
 #[derive(Copy, Clone, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Reason {
-    /// No replica that could be asked holds the snapshot.
+pub enum MissingReason {
+    /// No available replica holds the snapshot.
     #[display("snapshot_gone")]
     SnapshotGone,
-    /// Every replica that could be asked shed the request.
+    /// Every available replica shed the request.
     #[display("shed")]
     Shed,
     /// The attempts failed.
     #[display("failed")]
     Failed,
-    /// Nothing came before the deadline.
+    /// No outcome arrived before the deadline.
     #[display("deadline")]
     Deadline,
-    /// No VM that could dispatch to a replica can be reached.
+    /// No VM that dispatches to a replica of the shard is reachable.
     #[display("unreachable")]
     Unreachable,
 }
 
-/// What part of the service an answer covers.
+/// The shards that an answer covers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Coverage {
     /// Shards of the layout.
     pub shards: usize,
     /// Shards whose items are in the answer.
     pub answered: usize,
-    /// The others, and why.
-    pub missing: Vec<(Shard, Reason)>,
+    /// The other shards, each with the reason.
+    pub missing: Vec<(Shard, MissingReason)>,
 }
 
 impl Coverage {
-    /// The answered part, 0 to 1; an empty layout counts as covered.
+    /// The ratio of answered shards, 0 to 1; 1 for an empty layout.
     pub fn part(&self) -> f64 {
         if self.shards == 0 { 1.0 } else { self.answered as f64 / self.shards as f64 }
     }
@@ -50,28 +50,28 @@
 pub struct Answer {
     /// The query.
     pub query: Query,
-    /// The one snapshot that every item comes from.
+    /// The snapshot that all items come from.
     pub snapshot: Snapshot,
-    /// What part of the service it covers.
+    /// The shards that it covers.
     pub coverage: Coverage,
     /// Each answered shard's items as a JSON array, by shard.
     pub items: Vec<(Shard, Bytes)>,
-    /// Whether the row's least coverage is met; if not, the caller gets an error.
+    /// Whether the least coverage of the service's row is met; if not, the caller gets an error.
     pub enough: bool,
-    /// Time since the query was taken in.
+    /// Time since the query was submitted.
     pub took: Millis,
 }
 
-/// A query that was not run: nothing was sent for it and nothing will be.
+/// A refused query: no leaf request was or will be sent for it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Refusal {
-    /// Why.
+    /// The reason.
     pub reason: Cause,
-    /// When it may be worth asking again.
+    /// Delay before the caller should retry.
     pub retry_after: Millis,
 }
 
-/// Why a query was not run.
+/// Why a query was refused.
 #[derive(Copy, Clone, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
@@ -81,7 +81,7 @@
     /// The VM has no table or no catalog yet.
     #[display("not_ready")]
     NotReady,
-    /// The service's queue is full, or its wait would outlast the deadline.
+    /// The service's queue is full, or the query would wait there past its deadline.
     #[display("busy")]
     Busy,
     /// The deadline passed while the query waited to be admitted.
@@ -90,10 +90,10 @@
     /// The VM is leaving.
     #[display("draining")]
     Draining,
-    /// The service takes no orders.
+    /// The service accepts no orders.
     #[display("no_orders")]
     NoOrders,
-    /// No snapshot of the service can be served at all.
+    /// No shard of any snapshot of the service can be served.
     #[display("no_snapshot")]
     NoSnapshot,
 }
--- a/crates/tgw-query/src/entry.rs
+++ b/crates/tgw-query/src/entry.rs
@@ -1,12 +1,12 @@
 use crate::{
-    admit::{Gate, Verdict},
-    answer::{Answer, Cause, Reason, Refusal},
-    context::Cx,
-    outcome::Cost,
-    path::Paths,
-    running::Running,
-    snapshot::{self, Offer},
-    step::{Action, Event, Token, View, What, Why},
+    admission::{Controller, Verdict},
+    answer::{Answer, Cause, MissingReason, Refusal},
+    context::Context,
+    outcome::OwnerReport,
+    running::RunningQuery,
+    snapshot::{self, Candidate},
+    step::{Action, AttemptReason, DecisionKind, Event, Token, View},
+    tracker::Tracker,
 };
 use bytes::Bytes;
 use rand::{SeedableRng, rngs::SmallRng};
@@ -17,79 +17,79 @@
 use tgw_tail::{Average, Budget, Hedge};
 use tgw_topology::{Query, Service, Vm};
 
-/// Time kept for merging and for the way back to the caller.
-const MARGIN: Millis = Millis::new(1);
-pub(crate) const RETRY_AFTER: Millis = Millis::new(500);
+/// Time reserved for merging and for the reply to the caller.
+const RESPONSE_MARGIN_MS: Millis = Millis::new(1);
+pub(crate) const RETRY_AFTER_MS: Millis = Millis::new(500);
 
-/// How the entry works.
+/// Options of the entry.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// This VM.
     pub vm: Vm,
-    /// This life of the VM.
+    /// The incarnation of the VM, new with each start of its process.
     pub incarnation: u64,
-    /// Queries that run at once over all services.
+    /// Most queries that run at once over all services.
     pub places: u32,
-    /// Adapt services' limits to the owners' queues.
+    /// Adapt the limits of services to the waits in the owners' queues.
     pub adapt: bool,
     /// One in this many queries has its decisions logged; zero logs none.
     pub sample: u64,
-    /// Hedge to other groups and ask stand-ins for silent owners.
+    /// Hedge late attempts to other groups.
     pub hedge: bool,
 }
 
-/// Counts since the start.
+/// Counters since the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
-    /// Leaf requests asked for, the first of each shard.
+    /// First leaf requests of shards.
     pub leafs: u64,
-    /// Leaf requests asked for beyond the first of each shard.
+    /// Leaf requests beyond the first of each shard.
     pub extra: u64,
-    /// Sendings beyond the first that owners reported.
+    /// Sends beyond the first of each leaf request, as reported by owners.
     pub extra_owner: u64,
-    /// Outcomes for queries that had ended, or for attempts that were closed.
+    /// Outcomes that arrived after their query or attempt had ended.
     pub late: u64,
-    /// Outcomes from a VM that was not asked, or for no attempt ever made.
+    /// Outcomes from a VM that was not sent the attempt, or for an attempt that was never made.
     pub crossed: u64,
-    /// Queries begun again on another snapshot.
+    /// Restarts of queries on another snapshot.
     pub restarts: u64,
-    /// Answers by coverage: whole, partial and too small.
+    /// Answers with all shards.
     pub whole: u64,
     /// Answers that miss shards but meet the row's least coverage.
     pub partial: u64,
     /// Answers below the row's least coverage.
     pub short: u64,
-    /// Queries refused as not run.
+    /// Refused queries.
     pub refused: u64,
 }
 
-/// What is kept for each service.
-pub(crate) struct Tail {
+/// Hedge and retry budgets of a service.
+pub(crate) struct Budgets {
     pub(crate) hedge: Hedge,
     pub(crate) retry: Budget,
-    /// The part of leaf requests that owners hedge themselves.
-    pub(crate) extra: Average,
+    /// Mean number of sends beyond the first that owners make per leaf request.
+    pub(crate) owner_extra_sends: Average,
 }
 
-pub(crate) struct Queued {
+pub(crate) struct QueuedQuery {
     pub(crate) service: Service,
     pub(crate) body: Bytes,
-    pub(crate) began: Millis,
+    pub(crate) submitted_at: Millis,
     pub(crate) deadline: Millis,
 }
 
 /// The state machine of all queries of one VM.
 pub struct Entry {
     pub(crate) options: Options,
-    pub(crate) gate: Gate,
-    pub(crate) paths: Paths,
-    pub(crate) queued: BTreeMap<Token, Queued>,
-    pub(crate) running: BTreeMap<Query, Running>,
+    pub(crate) admission: Controller,
+    pub(crate) tracker: Tracker,
+    pub(crate) queued: BTreeMap<Token, QueuedQuery>,
+    pub(crate) running: BTreeMap<Query, RunningQuery>,
     pub(crate) tokens: BTreeMap<Token, Query>,
-    pub(crate) tails: BTreeMap<Service, Tail>,
-    /// Draws between groups that promise nearly the same.
+    pub(crate) budgets: BTreeMap<Service, Budgets>,
+    /// Adds jitter to the estimates of groups.
     pub(crate) rng: SmallRng,
-    pub(crate) next: u64,
+    pub(crate) next_query: u64,
     pub(crate) draining: bool,
     pub(crate) stats: Stats,
 }
@@ -98,92 +98,102 @@
     /// An entry without queries.
     pub fn new(options: Options) -> Self {
         Self {
-            gate: Gate::new(options.places, options.adapt),
-            paths: Paths::default(),
+            admission: Controller::new(options.places, options.adapt),
+            tracker: Tracker::default(),
             queued: BTreeMap::new(),
             running: BTreeMap::new(),
             tokens: BTreeMap::new(),
-            tails: BTreeMap::new(),
+            budgets: BTreeMap::new(),
             rng: SmallRng::seed_from_u64(options.incarnation),
             options,
-            next: 1,
+            next_query: 1,
             draining: false,
             stats: Stats::default(),
         }
     }
 
-    /// Counts since the start.
+    /// Counters since the start.
     pub fn stats(&self) -> &Stats {
         &self.stats
     }
 
-    /// The gate, for its figures.
-    pub fn gate(&self) -> &Gate {
-        &self.gate
+    /// The admission controller, for metrics.
+    pub fn admission(&self) -> &Controller {
+        &self.admission
     }
 
-    /// Queries that wait or run.
+    /// Queued and running queries.
     pub fn pending(&self) -> usize {
         self.queued.len() + self.running.len()
     }
 
-    /// Refuses new queries from now on; those taken in are finished.
+    /// Refuses new queries from now on; queued and running ones are finished.
     pub fn drain(&mut self) {
         self.draining = true;
     }
 
-    /// The VMs that were asked and have been silent since.
+    /// The VMs that owe outcomes and are unresponsive.
     pub fn silent(&self) -> Vec<Vm> {
-        self.paths.silent()
+        self.tracker.unresponsive_vms()
     }
 
-    /// Handles one event at `now` and appends what must be done.
+    /// Handles one event at `now` and appends the resulting actions.
     pub fn on(&mut self, now: Millis, event: Event, view: &View<'_>, out: &mut Vec<Action>) {
-        let cx = &mut Cx { now, view, out };
+        let cx = &mut Context { now, view, out };
         match event {
             Event::Submit { token, service, within, body } => {
                 self.submit(cx, token, service, within, body);
             }
             Event::Abandon(token) => self.abandon(cx, token),
             Event::Outcome { from, key, outcome, stock, extra, waited, pressure } => {
-                self.paths.heard(now, from);
-                let cost = Cost { extra, waited, pressure };
-                self.outcome(cx, from, key, outcome, stock, cost);
+                self.tracker.record_message(now, from);
+                let report =
+                    OwnerReport { extra_sends: extra, queue_wait: waited, load_ratio: pressure };
+                self.handle_outcome(cx, from, key, outcome, stock, report);
             }
-            Event::Heard(vm) => self.paths.heard(now, vm),
+            Event::Heard(vm) => self.tracker.record_message(now, vm),
             Event::Lost(vm) => {
-                self.paths.lost(vm);
-                self.ask_elsewhere(cx, vm);
+                self.tracker.record_disconnect(vm);
+                self.reassign_attempts(cx, vm);
             }
             Event::Tick => self.tick(cx),
         }
-        self.start_waiting(cx);
+        self.start_queued(cx);
     }
 
     pub(crate) fn submit(
         &mut self,
-        cx: &mut Cx<'_>,
+        cx: &mut Context<'_>,
         token: Token,
         service: Service,
         within: Option<Millis>,
         body: Bytes,
     ) {
-        let row = match self.admissible(cx, service) {
+        let row = match self.admissible_row(cx, service) {
             Ok(row) => row,
-            Err(reason) => return self.refuse(cx, token, reason, RETRY_AFTER),
+            Err(reason) => return self.refuse(cx, token, reason, RETRY_AFTER_MS),
         };
-        let span = within.map_or(row.deadline(), |w| w.min(row.deadline()));
-        let queued = Queued { service, body, began: cx.now, deadline: cx.now + (span - MARGIN) };
-        match self.gate.ask(cx.now, service, row, token, queued.deadline) {
-            Verdict::Run => self.start(cx, token, queued),
-            Verdict::Wait => {
+        let timeout = within.map_or(row.deadline(), |w| w.min(row.deadline()));
+        let queued = QueuedQuery {
+            service,
+            body,
+            submitted_at: cx.now,
+            deadline: cx.now + (timeout - RESPONSE_MARGIN_MS),
+        };
+        match self.admission.admit(cx.now, service, row, token, queued.deadline) {
+            Verdict::Admitted => self.start(cx, token, queued),
+            Verdict::Queued => {
                 self.queued.insert(token, queued);
             }
-            Verdict::Refuse { cause, retry_after } => self.refuse(cx, token, cause, retry_after),
+            Verdict::Refused { cause, retry_after } => self.refuse(cx, token, cause, retry_after),
         }
     }
 
-    pub(crate) fn admissible<'a>(&self, cx: &Cx<'a>, service: Service) -> Result<&'a Row, Cause> {
+    pub(crate) fn admissible_row<'a>(
+        &self,
+        cx: &Context<'a>,
+        service: Service,
+    ) -> Result<&'a Row, Cause> {
         if self.draining {
             return Err(Cause::Draining);
         }
@@ -193,98 +203,110 @@
         cx.row(service).ok_or(Cause::UnknownService)
     }
 
-    pub(crate) fn refuse(&mut self, cx: &mut Cx<'_>, token: Token, reason: Cause, after: Millis) {
+    pub(crate) fn refuse(
+        &mut self,
+        cx: &mut Context<'_>,
+        token: Token,
+        reason: Cause,
+        retry_after: Millis,
+    ) {
         self.stats.refused += 1;
-        cx.out.push(Action::Refuse { token, refusal: Refusal { reason, retry_after: after } });
+        cx.out.push(Action::Refuse { token, refusal: Refusal { reason, retry_after } });
     }
 
-    pub(crate) fn start_waiting(&mut self, cx: &mut Cx<'_>) {
-        while let Some(token) = self.gate.next(|service| cx.row(service)) {
+    pub(crate) fn start_queued(&mut self, cx: &mut Context<'_>) {
+        while let Some(token) = self.admission.admit_next(|service| cx.row(service)) {
             if let Some(queued) = self.queued.remove(&token) {
                 self.start(cx, token, queued);
             }
         }
     }
 
-    pub(crate) fn start(&mut self, cx: &mut Cx<'_>, token: Token, queued: Queued) {
-        let Queued { service, body, began, deadline } = queued;
-        let offer = cx.row(service).and_then(|row| {
+    pub(crate) fn start(&mut self, cx: &mut Context<'_>, token: Token, queued: QueuedQuery) {
+        let QueuedQuery { service, body, submitted_at, deadline } = queued;
+        let candidate = cx.row(service).and_then(|row| {
             snapshot::choose(
                 (cx.view.catalog, cx.view.index),
-                &mut self.paths,
+                &mut self.tracker,
                 service,
                 row.snapshot,
                 &[],
             )
         });
-        let Some(offer) = offer else {
-            self.gate.finished(cx.now, service, None, cx.now - began, Millis::ZERO);
-            return self.refuse(cx, token, Cause::NoSnapshot, RETRY_AFTER);
+        let Some(candidate) = candidate else {
+            self.admission.record_finished(
+                cx.now,
+                service,
+                None,
+                cx.now - submitted_at,
+                Millis::ZERO,
+            );
+            return self.refuse(cx, token, Cause::NoSnapshot, RETRY_AFTER_MS);
         };
-        let query = Query { incarnation: self.options.incarnation, number: self.next };
-        self.next += 1;
-        let sample = self.options.sample;
-        let mut running = Running {
+        let query = Query { incarnation: self.options.incarnation, number: self.next_query };
+        self.next_query += 1;
+        let sample_interval = self.options.sample;
+        let mut running = RunningQuery {
             query,
             token,
             service,
             body,
-            began,
+            submitted_at,
             deadline,
-            snapshot: offer.snapshot,
-            given_up: SmallVec::new(),
-            parts: Vec::new(),
-            open: 0,
-            waited: Millis::ZERO,
-            traced: sample > 0 && (query.number - 1).is_multiple_of(sample),
+            snapshot: candidate.snapshot,
+            abandoned_snapshots: SmallVec::new(),
+            shards: Vec::new(),
+            open_shards: 0,
+            max_queue_wait: Millis::ZERO,
+            traced: sample_interval > 0 && (query.number - 1).is_multiple_of(sample_interval),
         };
-        running.lay_out(offer.snapshot, offer.shards);
-        let Offer { snapshot, shards, servable, .. } = offer;
-        cx.note(&running, What::Start { snapshot, shards, servable });
+        running.reset_shards(candidate.snapshot, candidate.shards);
+        let Candidate { snapshot, shards, servable, .. } = candidate;
+        cx.log_decision(&running, DecisionKind::Start { snapshot, shards, servable });
         self.tokens.insert(token, query);
-        self.ask_all(cx, &mut running);
-        self.settle(cx, running);
+        self.request_all_shards(cx, &mut running);
+        self.store_or_finish(cx, running);
     }
 
-    pub(crate) fn ask_all(&mut self, cx: &mut Cx<'_>, running: &mut Running) {
-        for index in 0..running.parts.len() {
+    pub(crate) fn request_all_shards(&mut self, cx: &mut Context<'_>, running: &mut RunningQuery) {
+        for index in 0..running.shards.len() {
             self.stats.leafs += 1;
-            let tail = self.tail(cx, running.service);
-            tail.hedge.request();
-            tail.retry.earn();
-            if !self.ask(cx, running, index, Why::First) {
-                self.miss(cx, running, index, Reason::Unreachable);
+            let budgets = self.budgets(cx, running.service);
+            budgets.hedge.request();
+            budgets.retry.earn();
+            if !self.request_shard(cx, running, index, AttemptReason::First) {
+                self.mark_missing(cx, running, index, MissingReason::Unreachable);
             }
         }
     }
 
-    /// Keeps a query running, or answers it when no shard is open.
-    pub(crate) fn settle(&mut self, cx: &mut Cx<'_>, running: Running) {
-        if running.open == 0 {
+    /// Stores a query that has open shards, or answers it.
+    pub(crate) fn store_or_finish(&mut self, cx: &mut Context<'_>, running: RunningQuery) {
+        if running.open_shards == 0 {
             self.finish(cx, running);
         } else {
             self.running.insert(running.query, running);
         }
     }
 
-    pub(crate) fn finish(&mut self, cx: &mut Cx<'_>, mut running: Running) {
-        for index in 0..running.parts.len() {
-            self.cancel_part(cx, &mut running, index);
+    pub(crate) fn finish(&mut self, cx: &mut Context<'_>, mut running: RunningQuery) {
+        for index in 0..running.shards.len() {
+            self.cancel_attempts(cx, &mut running, index);
         }
         let row = cx.row(running.service);
-        let took = cx.now - running.began;
-        self.gate.finished(cx.now, running.service, row, took, running.waited);
+        let took = cx.now - running.submitted_at;
+        self.admission.record_finished(cx.now, running.service, row, took, running.max_queue_wait);
         self.tokens.remove(&running.token);
         let coverage = running.coverage();
-        let least = row.map_or(0.0, |r| r.least_coverage_pct / 100.0);
-        let enough = coverage.answered > 0 && coverage.part() >= least;
+        let min_coverage = row.map_or(0.0, |r| r.least_coverage_pct / 100.0);
+        let enough = coverage.answered > 0 && coverage.part() >= min_coverage;
         match (enough, coverage.missing.is_empty()) {
             (false, _) => self.stats.short += 1,
             (true, true) => self.stats.whole += 1,
             (true, false) => self.stats.partial += 1,
         }
         let (answered, shards) = (coverage.answered, coverage.shards);
-        cx.note(&running, What::Finish { answered, shards, took });
+        cx.log_decision(&running, DecisionKind::Finish { answered, shards, took });
         let answer = Answer {
             query: running.query,
             snapshot: running.snapshot,
@@ -296,22 +318,22 @@
         cx.out.push(Action::Answer { token: running.token, answer });
     }
 
-    pub(crate) fn abandon(&mut self, cx: &mut Cx<'_>, token: Token) {
+    pub(crate) fn abandon(&mut self, cx: &mut Context<'_>, token: Token) {
         if let Some(queued) = self.queued.remove(&token) {
-            self.gate.withdraw(queued.service, token);
+            self.admission.remove_queued(queued.service, token);
         }
         let query = self.tokens.remove(&token);
         if let Some(mut running) = query.and_then(|q| self.running.remove(&q)) {
-            for index in 0..running.parts.len() {
-                self.cancel_part(cx, &mut running, index);
+            for index in 0..running.shards.len() {
+                self.cancel_attempts(cx, &mut running, index);
             }
             let row = cx.row(running.service);
-            self.gate.finished(
+            self.admission.record_finished(
                 cx.now,
                 running.service,
                 row,
-                cx.now - running.began,
-                running.waited,
+                cx.now - running.submitted_at,
+                running.max_queue_wait,
             );
         }
     }
--- a/crates/tgw-query/src/lib.rs
+++ b/crates/tgw-query/src/lib.rs
@@ -1,32 +1,33 @@
-//! The entry VM's part of a search: admission, choice of a snapshot, the plan of shards, matching
-//! of replies, hedges and retries across replica groups, and the merged answer with its coverage.
+//! The entry VM's part of a search: admission, choice of a snapshot, one leaf request per shard,
+//! matching of outcomes to attempts, hedges and retries across replica groups, and the merged
+//! answer with its coverage.
 //!
-//! Performs no I/O: events and the time go in, actions come out.
+//! Performs no I/O: takes events and the time, returns actions.
 
-/// Admission: limits, weighted fairness, truthful early refusal.
-pub mod admit;
-/// What a caller is told.
+/// Admission control: concurrency limits, weighted fairness, early refusal.
+pub mod admission;
+/// Answers and refusals to callers.
 pub mod answer;
-/// Sending of leaf requests: which group, which VM.
+/// Attempts at shards: choice of the replica group and the VM.
 mod attempt;
-/// What every step needs.
+/// Context of one step: time, inputs, actions.
 mod context;
 /// The state machine of all queries of one VM.
 mod entry;
-/// What time alone brings about: deadlines, hedges, silent owners.
-mod late;
-/// What comes back for leaf requests.
+/// Outcomes of leaf requests.
 mod outcome;
-/// What is known of the ways to replica groups and of other VMs.
-mod path;
-/// One running query.
+/// State of one running query.
 mod running;
 /// Choice of the snapshot that a query is answered from.
 pub mod snapshot;
-/// What the entry is told, what it asks for, and what it reads.
+/// Events, actions and inputs of the entry.
 pub mod step;
+/// Time-driven work: deadlines, hedges, unresponsive owners.
+mod timeouts;
+/// Latency, load and snapshots of replica groups, and responsiveness of VMs.
+mod tracker;
 
 pub use answer::Answer;
 pub use entry::{Entry, Options, Stats};
-pub use path::Paths;
 pub use step::{Action, Event, Owners, View};
+pub use tracker::Tracker;
--- a/crates/tgw-query/src/outcome.rs
+++ b/crates/tgw-query/src/outcome.rs
@@ -1,245 +1,271 @@
 use crate::{
-    answer::Reason,
-    context::Cx,
+    answer::MissingReason,
+    context::Context,
     entry::Entry,
-    running::{Running, State},
+    running::{RunningQuery, ShardStatus},
     snapshot,
-    step::{Action, What, Why},
+    step::{Action, AttemptReason, DecisionKind},
 };
 use tgw_clock::Millis;
 use tgw_dispatch::leaf::{Key, Outcome, Stock};
 use tgw_topology::{Group, Service, Vm};
 
-/// Times that one shard's request may be sent on to another owner.
-const MOVES: usize = 4;
-/// The part of its time that a query must still have to begin again on another snapshot.
-const RESTART_SHARE: f64 = 0.3;
-const RESTARTS: usize = 2;
+/// Most times that the request for one shard is sent to another owner after a VM declined it.
+const MAX_MOVES: usize = 4;
+/// Remaining time, as a ratio of its whole time, that a query needs to restart on another snapshot.
+const MIN_RESTART_TIME_RATIO: f64 = 0.3;
+const MAX_RESTARTS: usize = 2;
 
-/// What a leaf request cost at the owner.
+/// What an owner reported besides a leaf request's outcome.
 #[derive(Copy, Clone, Debug)]
-pub(crate) struct Cost {
-    pub(crate) extra: u8,
-    pub(crate) waited: Millis,
-    pub(crate) pressure: f32,
+pub(crate) struct OwnerReport {
+    pub(crate) extra_sends: u8,
+    pub(crate) queue_wait: Millis,
+    pub(crate) load_ratio: f32,
 }
 
 impl Entry {
-    pub(crate) fn outcome(
+    pub(crate) fn handle_outcome(
         &mut self,
-        cx: &mut Cx<'_>,
+        cx: &mut Context<'_>,
         from: Vm,
         key: Key,
         outcome: Outcome,
         stock: Option<Stock>,
-        cost: Cost,
+        report: OwnerReport,
     ) {
         let Some(mut running) = self.running.remove(&key.query) else {
             self.stats.late += 1;
             return;
         };
-        if let Some(index) = self.matching(cx, &mut running, from, key, &outcome, cost) {
-            let group = running.parts[index].attempts.iter().find(|a| a.number == key.attempt);
-            if let (Some(stock), Some(attempt)) = (stock, group) {
-                self.paths.set_stock(cx.now, attempt.group, stock);
+        if let Some(index) = self.match_attempt(cx, &mut running, from, key, &outcome, report) {
+            let attempt = running.shards[index].attempts.iter().find(|a| a.number == key.attempt);
+            if let (Some(stock), Some(attempt)) = (stock, attempt) {
+                self.tracker.record_snapshots(cx.now, attempt.group, stock);
             }
-            running.waited = running.waited.max(cost.waited);
-            self.stats.extra_owner += u64::from(cost.extra);
-            self.tail(cx, running.service).extra.add(f64::from(cost.extra));
-            self.take(cx, &mut running, index, key, outcome);
+            running.max_queue_wait = running.max_queue_wait.max(report.queue_wait);
+            self.stats.extra_owner += u64::from(report.extra_sends);
+            self.budgets(cx, running.service).owner_extra_sends.add(f64::from(report.extra_sends));
+            self.apply_outcome(cx, &mut running, index, key, outcome);
         }
-        self.settle(cx, running);
+        self.store_or_finish(cx, running);
     }
 
-    /// The part that an outcome belongs to. Closes the attempt; `None` for one that is late,
-    /// doubled or crossed.
-    pub(crate) fn matching(
+    /// The index of the shard that an outcome belongs to; ends the attempt. `None` if the outcome
+    /// is late, a duplicate or of no known attempt.
+    pub(crate) fn match_attempt(
         &mut self,
-        cx: &Cx<'_>,
-        running: &mut Running,
+        cx: &Context<'_>,
+        running: &mut RunningQuery,
         from: Vm,
         key: Key,
         outcome: &Outcome,
-        cost: Cost,
+        report: OwnerReport,
     ) -> Option<usize> {
         let index = usize::from(key.shard.0);
-        let part = running.parts.get_mut(index);
-        let attempt = part.and_then(|p| p.attempts.iter_mut().find(|a| a.number == key.attempt));
-        // A reply to an attempt on a snapshot that was given up, from a VM that was not asked, or
-        // for another VM's query would put foreign items into this answer. Attempt numbers are
-        // unique over restarts of the query, and the VM that answers must be the one asked.
+        let progress = running.shards.get_mut(index);
+        let attempt =
+            progress.and_then(|p| p.attempts.iter_mut().find(|a| a.number == key.attempt));
+        // An outcome of an attempt on an abandoned snapshot, from a VM that was not sent the
+        // attempt, or for another VM's query would put foreign items into this answer. Attempt
+        // numbers are unique over restarts of the query, and the VM must be the one that was sent
+        // the attempt.
         let Some(attempt) = attempt.filter(|a| a.to == from && key.from == self.options.vm) else {
             self.stats.crossed += 1;
             return None;
         };
-        if !std::mem::replace(&mut attempt.open, false) {
+        if !std::mem::replace(&mut attempt.in_flight, false) {
             self.stats.late += 1;
             return None;
         }
-        let useful = matches!(outcome, Outcome::Items(_));
-        let way = useful.then_some((cx.now - attempt.sent) - cost.waited);
-        self.paths.ended(cx.now, attempt.group, from, attempt.sent);
-        self.paths.learned(cx.now, attempt.group, way, cost.pressure);
-        if !running.parts[index].open() {
+        let has_items = matches!(outcome, Outcome::Items(_));
+        let latency = has_items.then_some((cx.now - attempt.sent_at) - report.queue_wait);
+        self.tracker.record_attempt_end(cx.now, attempt.group, from, attempt.sent_at);
+        self.tracker.record_outcome(cx.now, attempt.group, latency, report.load_ratio);
+        if !running.shards[index].is_open() {
             self.stats.late += 1;
             return None;
         }
         Some(index)
     }
 
-    /// Uses the outcome of one attempt.
-    pub(crate) fn take(
+    /// Applies the outcome of one attempt.
+    pub(crate) fn apply_outcome(
         &mut self,
-        cx: &mut Cx<'_>,
-        running: &mut Running,
+        cx: &mut Context<'_>,
+        running: &mut RunningQuery,
         index: usize,
         key: Key,
         outcome: Outcome,
     ) {
         match outcome {
             Outcome::Items(items) => {
-                running.close(index, State::Done(items));
-                self.cancel_part(cx, running, index);
+                running.close_shard(index, ShardStatus::Done(items));
+                self.cancel_attempts(cx, running, index);
             }
-            Outcome::Moved(named) if running.parts[index].turned_away.len() < MOVES => {
-                running.parts[index].turn_away(key.attempt, named);
-                if !self.ask(cx, running, index, Why::Moved) {
-                    self.miss(cx, running, index, Reason::Unreachable);
+            Outcome::Moved(named_owner) if running.shards[index].declined_by.len() < MAX_MOVES => {
+                running.shards[index].record_declined(key.attempt, named_owner);
+                if !self.request_shard(cx, running, index, AttemptReason::Moved) {
+                    self.mark_missing(cx, running, index, MissingReason::Unreachable);
                 }
             }
             Outcome::Gone => {
-                if let Some(group) = group_of(running, index, key.attempt) {
-                    self.paths.set_lost(cx.now, group, running.snapshot);
+                if let Some(group) = attempted_group(running, index, key.attempt) {
+                    self.tracker.record_missing_snapshot(cx.now, group, running.snapshot);
                 }
-                self.after_failure(cx, running, index, Reason::SnapshotGone);
+                self.retry_or_give_up(cx, running, index, MissingReason::SnapshotGone);
             }
             Outcome::Crowded => {
-                running.parts[index].unsent(key.attempt);
-                if !self.ask(cx, running, index, Why::Crowded) {
-                    self.miss(cx, running, index, Reason::Unreachable);
+                running.shards[index].mark_returned(key.attempt);
+                if !self.request_shard(cx, running, index, AttemptReason::Crowded) {
+                    self.mark_missing(cx, running, index, MissingReason::Unreachable);
                 }
             }
-            Outcome::Shed => self.after_failure(cx, running, index, Reason::Shed),
+            Outcome::Shed => self.retry_or_give_up(cx, running, index, MissingReason::Shed),
             Outcome::Failed(_) | Outcome::Moved(_) => {
-                self.after_failure(cx, running, index, Reason::Failed);
+                self.retry_or_give_up(cx, running, index, MissingReason::Failed);
             }
             Outcome::Expired => {
-                self.after_failure(cx, running, index, Reason::Deadline);
+                self.retry_or_give_up(cx, running, index, MissingReason::Deadline);
             }
         }
     }
 
-    /// Tries another group, restarts the query, or gives the shard up.
-    pub(crate) fn after_failure(
+    /// Retries at another group, restarts the query, or leaves the shard out.
+    pub(crate) fn retry_or_give_up(
         &mut self,
-        cx: &mut Cx<'_>,
-        running: &mut Running,
+        cx: &mut Context<'_>,
+        running: &mut RunningQuery,
         index: usize,
-        reason: Reason,
+        reason: MissingReason,
     ) {
-        running.parts[index].last = Some(reason);
-        let useless = matches!(reason, Reason::Failed | Reason::Shed);
-        if let Some(attempt) = running.parts[index].attempts.last().filter(|_| useless) {
-            self.paths.failed(cx.now, attempt.group);
+        running.shards[index].last_failure = Some(reason);
+        let counts_against_group = matches!(reason, MissingReason::Failed | MissingReason::Shed);
+        if let Some(attempt) =
+            running.shards[index].attempts.last().filter(|_| counts_against_group)
+        {
+            self.tracker.record_failure(cx.now, attempt.group);
         }
-        // An attempt that a silent VM owes is no reason to wait: it may never come.
-        if !self.owed_by_silent(running, index) {
+        // An attempt at an unresponsive VM is no reason to wait, as its outcome may never arrive.
+        if !self.awaits_only_unresponsive(running, index) {
             return;
         }
         let attempts = cx.row(running.service).map_or(1, |r| usize::from(r.attempts));
-        let may = running.parts[index].sent() < attempts && cx.now < running.deadline;
-        let may = may && self.has_untried(cx, running, index);
-        let may = may && self.may_retry(cx, running.service, reason);
-        if may && self.ask(cx, running, index, Why::Retry) {
+        let may_retry =
+            running.shards[index].sent_attempts() < attempts && cx.now < running.deadline;
+        let may_retry = may_retry && self.has_untried_group(cx, running, index);
+        let may_retry = may_retry && self.spend_retry(cx, running.service, reason);
+        if may_retry && self.request_shard(cx, running, index, AttemptReason::Retry) {
             return;
         }
-        if reason == Reason::SnapshotGone && self.restart(cx, running) {
+        if reason == MissingReason::SnapshotGone && self.restart(cx, running) {
             return;
         }
-        self.miss(cx, running, index, reason);
+        self.mark_missing(cx, running, index, reason);
     }
 
-    pub(crate) fn may_retry(&mut self, cx: &Cx<'_>, service: Service, reason: Reason) -> bool {
-        // Refused work cost the upstream nothing; only work that may have been done is charged.
-        matches!(reason, Reason::Shed | Reason::SnapshotGone)
-            || self.tail(cx, service).retry.spend()
+    pub(crate) fn spend_retry(
+        &mut self,
+        cx: &Context<'_>,
+        service: Service,
+        reason: MissingReason,
+    ) -> bool {
+        // A request that was rejected cost the upstream nothing; only work that may have been done
+        // is charged to the budget.
+        matches!(reason, MissingReason::Shed | MissingReason::SnapshotGone)
+            || self.budgets(cx, service).retry.spend()
     }
 
-    pub(crate) fn has_untried(&self, cx: &Cx<'_>, running: &Running, index: usize) -> bool {
-        let part = &running.parts[index];
+    pub(crate) fn has_untried_group(
+        &self,
+        cx: &Context<'_>,
+        running: &RunningQuery,
+        index: usize,
+    ) -> bool {
+        let progress = &running.shards[index];
         cx.view
             .catalog
-            .replicas(running.service, running.snapshot.layout, part.shard)
+            .replicas(running.service, running.snapshot.layout, progress.shard)
             .iter()
             .filter_map(|u| cx.view.catalog.upstreams.get(u))
-            .any(|n| !part.sent_to(n.group()) && self.paths.holds(n.group(), running.snapshot))
+            .any(|n| {
+                !progress.was_sent_to(n.group()) && self.tracker.holds(n.group(), running.snapshot)
+            })
     }
 
-    /// Begins again on another snapshot; false if there is none or too little time.
-    pub(crate) fn restart(&mut self, cx: &mut Cx<'_>, running: &mut Running) -> bool {
-        let span = running.deadline - running.began;
-        let left = running.deadline - cx.now;
-        if running.given_up.len() >= RESTARTS || left < span.scale(RESTART_SHARE) {
+    /// Restarts on another snapshot; false if there is none or too little time is left.
+    pub(crate) fn restart(&mut self, cx: &mut Context<'_>, running: &mut RunningQuery) -> bool {
+        let total_time = running.deadline - running.submitted_at;
+        let remaining_time = running.deadline - cx.now;
+        if running.abandoned_snapshots.len() >= MAX_RESTARTS
+            || remaining_time < total_time.scale(MIN_RESTART_TIME_RATIO)
+        {
             return false;
         }
         let from = running.snapshot;
-        let mut except = running.given_up.clone();
+        let mut except = running.abandoned_snapshots.clone();
         except.push(from);
         let choice = cx.row(running.service).map(|r| r.snapshot);
-        let offer = choice.and_then(|choice| {
+        let candidate = choice.and_then(|choice| {
             snapshot::choose(
                 (cx.view.catalog, cx.view.index),
-                &mut self.paths,
+                &mut self.tracker,
                 running.service,
                 choice,
                 &except,
             )
         });
         let covered =
-            running.parts.iter().filter(|p| !matches!(p.state, State::Missing(_))).count();
-        // Giving up a snapshot that still covers more would lose coverage by the restart.
-        let Some(offer) = offer.filter(|o| o.servable * running.parts.len() >= covered * o.shards)
+            running.shards.iter().filter(|p| !matches!(p.status, ShardStatus::Missing(_))).count();
+        // Restarting from a snapshot that still covers more would reduce coverage.
+        let Some(candidate) =
+            candidate.filter(|c| c.servable * running.shards.len() >= covered * c.shards)
         else {
             return false;
         };
-        for index in 0..running.parts.len() {
-            self.cancel_part(cx, running, index);
+        for index in 0..running.shards.len() {
+            self.cancel_attempts(cx, running, index);
         }
-        running.given_up = except;
-        running.lay_out(offer.snapshot, offer.shards);
+        running.abandoned_snapshots = except;
+        running.reset_shards(candidate.snapshot, candidate.shards);
         self.stats.restarts += 1;
-        cx.note(running, What::Restart { from, to: offer.snapshot });
-        self.ask_all(cx, running);
+        cx.log_decision(running, DecisionKind::Restart { from, to: candidate.snapshot });
+        self.request_all_shards(cx, running);
         true
     }
 
-    /// Stops the attempts at one shard that still run.
-    pub(crate) fn cancel_part(&mut self, cx: &mut Cx<'_>, running: &mut Running, index: usize) {
+    /// Cancels the attempts in flight at one shard.
+    pub(crate) fn cancel_attempts(
+        &mut self,
+        cx: &mut Context<'_>,
+        running: &mut RunningQuery,
+        index: usize,
+    ) {
         let (from, query) = (self.options.vm, running.query);
-        let part = &mut running.parts[index];
-        let shard = part.shard;
-        for attempt in part.attempts.iter_mut().filter(|a| a.open) {
-            attempt.open = false;
-            self.paths.ended(cx.now, attempt.group, attempt.to, attempt.sent);
+        let progress = &mut running.shards[index];
+        let shard = progress.shard;
+        for attempt in progress.attempts.iter_mut().filter(|a| a.in_flight) {
+            attempt.in_flight = false;
+            self.tracker.record_attempt_end(cx.now, attempt.group, attempt.to, attempt.sent_at);
             let key = Key { from, query, shard, attempt: attempt.number };
             cx.out.push(Action::Cancel { to: attempt.to, key });
         }
     }
 
-    pub(crate) fn miss(
+    pub(crate) fn mark_missing(
         &mut self,
-        cx: &mut Cx<'_>,
-        running: &mut Running,
+        cx: &mut Context<'_>,
+        running: &mut RunningQuery,
         index: usize,
-        reason: Reason,
+        reason: MissingReason,
     ) {
-        let Some(part) = running.parts.get(index).filter(|p| p.open()) else { return };
-        cx.note(running, What::Miss { shard: part.shard, reason });
-        running.close(index, State::Missing(reason));
-        self.cancel_part(cx, running, index);
+        let Some(progress) = running.shards.get(index).filter(|p| p.is_open()) else { return };
+        cx.log_decision(running, DecisionKind::Miss { shard: progress.shard, reason });
+        running.close_shard(index, ShardStatus::Missing(reason));
+        self.cancel_attempts(cx, running, index);
     }
 }
 
-fn group_of(running: &Running, index: usize, attempt: u8) -> Option<Group> {
-    running.parts[index].attempts.iter().find(|a| a.number == attempt).map(|a| a.group)
+fn attempted_group(running: &RunningQuery, index: usize, attempt: u8) -> Option<Group> {
+    running.shards[index].attempts.iter().find(|a| a.number == attempt).map(|a| a.group)
 }
--- a/crates/tgw-query/src/running.rs
+++ b/crates/tgw-query/src/running.rs
@@ -1,12 +1,12 @@
-use crate::answer::{Coverage, Reason};
+use crate::answer::{Coverage, MissingReason};
 use bytes::Bytes;
 use smallvec::SmallVec;
 use tgw_clock::Millis;
 use tgw_topology::{Group, Query, Service, Shard, Snapshot, Vm};
 
-/// Attempt numbers of a query that began again start this much higher, so that a reply to an
-/// attempt on the earlier snapshot matches none of the new ones.
-const RESTART_STEP: u8 = 64;
+/// Attempt numbers start this much higher after each restart of a query, so that an outcome of an
+/// attempt on an earlier snapshot matches no new attempt.
+const RESTART_ATTEMPT_OFFSET: u8 = 64;
 
 /// One attempt at one shard.
 #[derive(Clone, Debug)]
@@ -14,130 +14,133 @@
     pub(crate) number: u8,
     pub(crate) group: Group,
     pub(crate) to: Vm,
-    pub(crate) sent: Millis,
-    pub(crate) open: bool,
-    /// It ended without being sent to an upstream, and counts as none.
-    pub(crate) unsent: bool,
+    pub(crate) sent_at: Millis,
+    pub(crate) in_flight: bool,
+    /// Whether it was returned without being sent to an upstream; it then does not count as an
+    /// attempt.
+    pub(crate) returned_unsent: bool,
 }
 
-/// What is known of one shard.
+/// Status of one shard of a running query.
 #[derive(Clone, Debug)]
-pub(crate) enum State {
+pub(crate) enum ShardStatus {
     Open,
     Done(Bytes),
-    Missing(Reason),
+    Missing(MissingReason),
 }
 
-/// One shard of a running query.
+/// Attempts at one shard of a running query.
 #[derive(Clone, Debug)]
-pub(crate) struct Part {
+pub(crate) struct ShardProgress {
     pub(crate) shard: Shard,
-    pub(crate) state: State,
+    pub(crate) status: ShardStatus,
     pub(crate) attempts: SmallVec<[Attempt; 2]>,
-    pub(crate) next: u8,
-    pub(crate) late: bool,
+    pub(crate) next_attempt: u8,
+    pub(crate) counted_late: bool,
     pub(crate) hedged: bool,
-    /// VMs that do not dispatch to the group they were asked for, and whom the last of them named.
-    pub(crate) turned_away: SmallVec<[Vm; 2]>,
-    pub(crate) named: Option<Vm>,
-    pub(crate) last: Option<Reason>,
+    /// VMs that declined because they do not own the group, and the owner that the last of them
+    /// named.
+    pub(crate) declined_by: SmallVec<[Vm; 2]>,
+    pub(crate) named_owner: Option<Vm>,
+    pub(crate) last_failure: Option<MissingReason>,
 }
 
-impl Part {
-    pub(crate) fn open(&self) -> bool {
-        matches!(self.state, State::Open)
+impl ShardProgress {
+    pub(crate) fn is_open(&self) -> bool {
+        matches!(self.status, ShardStatus::Open)
     }
 
-    /// Notes that the VM of an attempt does not dispatch to the group, and whom it named instead.
-    pub(crate) fn turn_away(&mut self, number: u8, named: Option<Vm>) {
+    /// Records that the VM of an attempt does not own the group, and the owner that it named.
+    pub(crate) fn record_declined(&mut self, number: u8, named_owner: Option<Vm>) {
         if let Some(at) = self.attempts.iter().position(|a| a.number == number) {
-            self.turned_away.push(self.attempts.remove(at).to);
+            self.declined_by.push(self.attempts.remove(at).to);
         }
-        self.named = named;
+        self.named_owner = named_owner;
     }
 
-    /// Notes that an attempt was given back unsent.
-    pub(crate) fn unsent(&mut self, number: u8) {
+    /// Records that an attempt was returned unsent.
+    pub(crate) fn mark_returned(&mut self, number: u8) {
         if let Some(attempt) = self.attempts.iter_mut().find(|a| a.number == number) {
-            attempt.unsent = true;
+            attempt.returned_unsent = true;
         }
     }
 
-    /// Attempts that may have cost an upstream work.
-    pub(crate) fn sent(&self) -> usize {
-        self.attempts.iter().filter(|a| !a.unsent).count()
+    /// Number of attempts that may have cost an upstream work.
+    pub(crate) fn sent_attempts(&self) -> usize {
+        self.attempts.iter().filter(|a| !a.returned_unsent).count()
     }
 
-    /// Whether a group may have worked on the shard: one that gave it back unsent may be asked again.
-    pub(crate) fn sent_to(&self, group: Group) -> bool {
-        self.attempts.iter().any(|a| a.group == group && !a.unsent)
+    /// Whether a group may have worked on the shard; one that returned it unsent may be tried
+    /// again.
+    pub(crate) fn was_sent_to(&self, group: Group) -> bool {
+        self.attempts.iter().any(|a| a.group == group && !a.returned_unsent)
     }
 
-    /// Groups whose answer is still awaited or was of no use.
-    pub(crate) fn tried(&self, group: Group) -> bool {
+    /// Whether an attempt at the group is in flight or has ended without success.
+    pub(crate) fn was_tried(&self, group: Group) -> bool {
         self.attempts.iter().any(|a| a.group == group)
     }
 }
 
-/// One running query.
+/// State of one running query.
 #[derive(Clone, Debug)]
-pub(crate) struct Running {
+pub(crate) struct RunningQuery {
     pub(crate) query: Query,
     pub(crate) token: u64,
     pub(crate) service: Service,
     pub(crate) body: Bytes,
-    pub(crate) began: Millis,
+    pub(crate) submitted_at: Millis,
     pub(crate) deadline: Millis,
     pub(crate) snapshot: Snapshot,
-    pub(crate) given_up: SmallVec<[Snapshot; 2]>,
-    pub(crate) parts: Vec<Part>,
-    pub(crate) open: usize,
-    pub(crate) waited: Millis,
+    pub(crate) abandoned_snapshots: SmallVec<[Snapshot; 2]>,
+    pub(crate) shards: Vec<ShardProgress>,
+    pub(crate) open_shards: usize,
+    pub(crate) max_queue_wait: Millis,
     pub(crate) traced: bool,
 }
 
-impl Running {
-    /// Lays out the parts for `snapshot` of `shards` shards, all open.
-    pub(crate) fn lay_out(&mut self, snapshot: Snapshot, shards: usize) {
-        let first = self.given_up.len() as u8 * RESTART_STEP;
+impl RunningQuery {
+    /// Starts over with `snapshot`, all of whose `shard_count` shards are open.
+    pub(crate) fn reset_shards(&mut self, snapshot: Snapshot, shard_count: usize) {
+        let first_attempt = self.abandoned_snapshots.len() as u8 * RESTART_ATTEMPT_OFFSET;
         self.snapshot = snapshot;
-        self.open = shards;
-        let part = |index: usize| Part {
+        self.open_shards = shard_count;
+        let new_shard = |index: usize| ShardProgress {
             shard: Shard(index as u16),
-            state: State::Open,
+            status: ShardStatus::Open,
             attempts: SmallVec::new(),
-            next: first,
-            late: false,
+            next_attempt: first_attempt,
+            counted_late: false,
             hedged: false,
-            turned_away: SmallVec::new(),
-            named: None,
-            last: None,
+            declined_by: SmallVec::new(),
+            named_owner: None,
+            last_failure: None,
         };
-        self.parts = (0..shards).map(part).collect();
+        self.shards = (0..shard_count).map(new_shard).collect();
     }
 
-    pub(crate) fn close(&mut self, index: usize, state: State) {
-        if let Some(part) = self.parts.get_mut(index).filter(|p| p.open()) {
-            part.state = state;
-            self.open -= 1;
+    pub(crate) fn close_shard(&mut self, index: usize, status: ShardStatus) {
+        if let Some(progress) = self.shards.get_mut(index).filter(|p| p.is_open()) {
+            progress.status = status;
+            self.open_shards -= 1;
         }
     }
 
     pub(crate) fn coverage(&self) -> Coverage {
-        let mut coverage = Coverage { shards: self.parts.len(), ..Coverage::default() };
-        for part in &self.parts {
-            match &part.state {
-                State::Done(_) => coverage.answered += 1,
-                State::Missing(reason) => coverage.missing.push((part.shard, *reason)),
-                State::Open => coverage.missing.push((part.shard, Reason::Deadline)),
+        let mut coverage = Coverage { shards: self.shards.len(), ..Coverage::default() };
+        for p in &self.shards {
+            match &p.status {
+                ShardStatus::Done(_) => coverage.answered += 1,
+                ShardStatus::Missing(reason) => coverage.missing.push((p.shard, *reason)),
+                ShardStatus::Open => coverage.missing.push((p.shard, MissingReason::Deadline)),
             }
         }
         coverage
     }
 
     pub(crate) fn items(&mut self) -> Vec<(Shard, Bytes)> {
-        let done = self.parts.iter_mut().filter_map(|part| match &mut part.state {
-            State::Done(items) => Some((part.shard, std::mem::take(items))),
+        let done = self.shards.iter_mut().filter_map(|progress| match &mut progress.status {
+            ShardStatus::Done(items) => Some((progress.shard, std::mem::take(items))),
             _ => None,
         });
         done.collect()
--- a/crates/tgw-query/src/snapshot.rs
+++ b/crates/tgw-query/src/snapshot.rs
@@ -1,6 +1,6 @@
 //! Choice of the snapshot that a query is answered from.
 
-use crate::path::Paths;
+use crate::tracker::Tracker;
 use std::cmp::Reverse;
 use tgw_table::row::Choice;
 use tgw_topology::{
@@ -8,122 +8,131 @@
     catalog::{Entry, Index, Version},
 };
 
-/// A snapshot and how much of it can be served.
+/// A snapshot and the part of it that can be served.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
-pub struct Offer {
+pub struct Candidate {
     /// The snapshot.
     pub snapshot: Snapshot,
     /// Shards of its layout.
     pub shards: usize,
-    /// Shards that some group is believed to hold.
+    /// Shards that some group holds, as far as is known.
     pub servable: usize,
-    /// The least part of any servable shard's replicas that hold it, in percent.
-    pub replicas: u8,
+    /// Percentage of a shard's replicas that hold it, for the servable shard with the lowest.
+    pub min_replicas_pct: u8,
 }
 
-/// A choice, and what it was made from.
+/// A cached choice, with the inputs that it depends on.
 #[derive(Copy, Clone, Debug)]
-pub(crate) struct Chosen {
+pub(crate) struct CachedChoice {
     catalog: Version,
-    epoch: u64,
+    snapshots_epoch: u64,
     choice: Choice,
-    offer: Option<Offer>,
+    candidate: Option<Candidate>,
 }
 
-/// With [`Choice::Newest`], the least part of a shard's replicas that must hold the newest snapshot,
-/// in percent: fewer could not carry the load of all.
-const ENOUGH: u8 = 50;
+/// With [`Choice::Newest`], the percentage of each shard's replicas that must hold the newest
+/// snapshot: fewer could not carry the load of all.
+const MIN_REPLICAS_PCT: u8 = 50;
 
-/// Chooses among the service's snapshots; `except` were given up before. `None` if none has a shard
-/// that could be served.
+/// Chooses among the service's snapshots other than `except`, which the query has abandoned. `None`
+/// if none has a servable shard.
 pub fn choose(
     (catalog, index): (&Catalog, &Index),
-    paths: &mut Paths,
+    tracker: &mut Tracker,
     service: Service,
     choice: Choice,
     except: &[Snapshot],
-) -> Option<Offer> {
+) -> Option<Candidate> {
     if !except.is_empty() {
-        return find((catalog, index), paths, service, choice, except);
+        return find_best((catalog, index), tracker, service, choice, except);
     }
-    let epoch = paths.epoch();
-    let known = paths
-        .chosen
-        .get(&service)
-        .filter(|c| (c.catalog, c.epoch, c.choice) == (catalog.version, epoch, choice));
-    if let Some(known) = known {
-        return known.offer;
+    let snapshots_epoch = tracker.snapshots_epoch();
+    let cached = tracker.choices.get(&service).filter(|c| {
+        (c.catalog, c.snapshots_epoch, c.choice) == (catalog.version, snapshots_epoch, choice)
+    });
+    if let Some(cached) = cached {
+        return cached.candidate;
     }
-    let offer = find((catalog, index), paths, service, choice, except);
-    paths.chosen.insert(service, Chosen { catalog: catalog.version, epoch, choice, offer });
-    offer
+    let candidate = find_best((catalog, index), tracker, service, choice, except);
+    tracker.choices.insert(
+        service,
+        CachedChoice { catalog: catalog.version, snapshots_epoch, choice, candidate },
+    );
+    candidate
 }
 
-fn find(
+fn find_best(
     (catalog, index): (&Catalog, &Index),
-    paths: &Paths,
+    tracker: &Tracker,
     service: Service,
     choice: Choice,
     except: &[Snapshot],
-) -> Option<Offer> {
+) -> Option<Candidate> {
     let entry = catalog.services.get(&service)?;
-    let offers: Vec<Offer> = entry
+    let candidates: Vec<Candidate> = entry
         .snapshots
         .iter()
         .filter(|s| !except.contains(s))
-        .filter_map(|s| offer((catalog, index), paths, entry, *s))
-        .filter(|o| o.servable > 0)
+        .filter_map(|s| candidate((catalog, index), tracker, entry, *s))
+        .filter(|c| c.servable > 0)
         .collect();
-    let newest = offers.iter().find(|o| o.servable == o.shards && o.replicas >= ENOUGH);
+    let newest = candidates
+        .iter()
+        .find(|c| c.servable == c.shards && c.min_replicas_pct >= MIN_REPLICAS_PCT);
     if let Some(newest) = newest.filter(|_| choice == Choice::Newest) {
         return Some(*newest);
     }
-    // A version that arrives replica by replica is whole as soon as one replica of each shard has
-    // it, and that one would get the load of all. The one held by most replicas is taken, and the
-    // newer of two that are held by as many.
-    let rank = |o: &Offer| {
-        let part = o.servable * 1_000_000 / o.shards.max(1);
-        (part, o.replicas)
+    // A version that is rolled out replica by replica is complete as soon as one replica of each
+    // shard has it, and that replica would get the load of all. Among the snapshots with the most
+    // servable shards, the one held by most replicas is chosen; of equal ones, the newest.
+    let preference = |c: &Candidate| {
+        let coverage_ppm = c.servable * 1_000_000 / c.shards.max(1);
+        (coverage_ppm, c.min_replicas_pct)
     };
-    offers.into_iter().enumerate().max_by_key(|(i, o)| (rank(o), Reverse(*i))).map(|(_, o)| o)
+    candidates
+        .into_iter()
+        .enumerate()
+        .max_by_key(|(i, c)| (preference(c), Reverse(*i)))
+        .map(|(_, c)| c)
 }
 
-fn offer(
+fn candidate(
     (catalog, index): (&Catalog, &Index),
-    paths: &Paths,
+    tracker: &Tracker,
     entry: &Entry,
     snapshot: Snapshot,
-) -> Option<Offer> {
-    let partition = entry.layouts.iter().find(|l| l.id == snapshot.layout)?;
-    let shards = partition.shards.len();
+) -> Option<Candidate> {
+    let layout = entry.layouts.iter().find(|l| l.id == snapshot.layout)?;
+    let shards = layout.shards.len();
     let mut servable = 0;
-    let mut least = 100;
+    let mut min_replicas_pct = 100;
     for shard in 0..shards {
         let shard = Shard(shard as u16);
-        let part = part_held((catalog, index), paths, entry.id, snapshot, shard);
-        if part > 0 {
+        let pct = replicas_pct((catalog, index), tracker, entry.id, snapshot, shard);
+        if pct > 0 {
             servable += 1;
-            least = least.min(part);
+            min_replicas_pct = min_replicas_pct.min(pct);
         }
     }
-    Some(Offer { snapshot, shards, servable, replicas: least })
+    Some(Candidate { snapshot, shards, servable, min_replicas_pct })
 }
 
-/// The part of a shard's replicas that hold a snapshot, in percent. A group tells how many of its
-/// upstreams do, not which; each is taken to hold it with that chance.
-fn part_held(
+/// The percentage of a shard's replicas that hold a snapshot. A group reports how many of its
+/// upstreams hold it, not which; each counts as a holder with that probability.
+fn replicas_pct(
     (catalog, index): (&Catalog, &Index),
-    paths: &Paths,
+    tracker: &Tracker,
     service: Service,
     snapshot: Snapshot,
     shard: Shard,
 ) -> u8 {
     let replicas = catalog.replicas(service, snapshot.layout, shard);
-    let part = |node: &tgw_topology::catalog::Node| {
+    let holder_probability = |node: &tgw_topology::catalog::Node| {
         let group = node.group();
         let members = f64::from(index.get(group).map_or(1, |m| m.staying).max(1));
-        paths.holders(group, snapshot).map_or(1.0, |count| (f64::from(count) / members).min(1.0))
+        tracker.holders(group, snapshot).map_or(1.0, |count| (f64::from(count) / members).min(1.0))
     };
-    let held: f64 = replicas.iter().filter_map(|u| catalog.upstreams.get(u)).map(part).sum();
-    (held * 100.0 / replicas.len().max(1) as f64).ceil() as u8
+    let holders: f64 =
+        replicas.iter().filter_map(|u| catalog.upstreams.get(u)).map(holder_probability).sum();
+    (holders * 100.0 / replicas.len().max(1) as f64).ceil() as u8
 }
--- a/crates/tgw-query/src/step.rs
+++ b/crates/tgw-query/src/step.rs
@@ -1,6 +1,6 @@
-//! What the entry is told, what it asks for, and what it reads.
+//! Events, actions and inputs of the entry.
 
-use crate::answer::{Answer, Reason, Refusal};
+use crate::answer::{Answer, MissingReason, Refusal};
 use bytes::Bytes;
 use derive_more::Display;
 use smallvec::SmallVec;
@@ -11,90 +11,90 @@
     Catalog, Group, Place, Query, Service, Shard, Snapshot, Vm, catalog::Index, place::Distance,
 };
 
-/// Names a caller's request between the callers' duty and the core.
+/// Identifies a caller's request between the thread that serves callers and the core.
 pub type Token = u64;
 
-/// Who dispatches to a replica group.
+/// The VMs that dispatch to each replica group.
 pub trait Owners {
-    /// The owner first, then the VMs that stand in for it.
+    /// The owner of a group, then its stand-ins.
     fn owners(&self, group: Group) -> SmallVec<[Vm; 2]>;
-    /// Where a VM lies.
+    /// The region and failure domain of a VM.
     fn place(&self, vm: Vm) -> Option<Place>;
 }
 
-/// What the entry reads while it handles an event.
+/// State of the VM that the entry reads while it handles an event.
 #[derive(Copy, Clone)]
 pub struct View<'a> {
     /// Services, layouts, upstreams.
     pub catalog: &'a Catalog,
     /// The replica groups of the catalog.
     pub index: &'a Index,
-    /// The table in force; `None` before the first.
+    /// The current table; `None` until one is loaded.
     pub table: Option<&'a Document>,
-    /// Who dispatches to each group.
+    /// The VMs that dispatch to each group.
     pub owners: &'a dyn Owners,
-    /// Where this VM lies.
+    /// The region and failure domain of this VM.
     pub here: Place,
-    /// Network delays that estimates start from.
+    /// Network delays, the base of the latency estimates.
     pub distance: Distance,
 }
 
-/// What the entry is told.
+/// Input of the entry.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A caller's search.
     Submit {
-        /// Names the caller's request.
+        /// Identifies the caller's request.
         token: Token,
         /// The service.
         service: Service,
-        /// Time that the caller gives, if less than the row's.
+        /// The caller's timeout, applied if shorter than the deadline of the service's row.
         within: Option<Millis>,
-        /// What is searched for.
+        /// The search itself, opaque to the tier.
         body: Bytes,
     },
-    /// The caller went away.
+    /// The caller closed its request.
     Abandon(Token),
-    /// A VM that dispatches tells what came of a leaf request.
+    /// A dispatching VM reports the outcome of a leaf request.
     Outcome {
         /// The VM.
         from: Vm,
         /// The request.
         key: Key,
-        /// What came of it.
+        /// The outcome.
         outcome: Outcome,
         /// The snapshots held in its group, if known.
         stock: Option<Stock>,
-        /// Sendings beyond the first.
+        /// Sends beyond the first.
         extra: u8,
         /// Time in the owner's queue.
         waited: Millis,
-        /// Requests that wait or run in the group, as a part of its slots.
+        /// Queued and in-flight requests of the group as a ratio of its slots.
         pressure: f32,
     },
-    /// Any frame came from a VM.
+    /// A frame arrived from a VM.
     Heard(Vm),
-    /// The connection to a VM broke, or it left its domain's view.
+    /// The connection to a VM closed, or membership no longer lists the VM as live.
     Lost(Vm),
-    /// Time has passed.
+    /// Periodic tick for deadlines, hedges and unresponsive owners.
     Tick,
 }
 
-/// What must be done.
+/// Output of the entry, to be carried out by the caller.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Ask a VM to dispatch a leaf request.
+    /// Send a leaf request to a VM that dispatches it.
     Ask {
         /// The VM.
         to: Vm,
         /// The replica group.
         group: Group,
-        /// The VM is asked in the owner's place.
+        /// Whether the VM must dispatch the request in place of the owner.
         stand_in: bool,
         /// The request.
         leaf: Leaf,
     },
-    /// Tell a VM that a request's outcome is no longer wanted.
+    /// Cancel a leaf request at a VM.
     Cancel {
         /// The VM.
         to: Vm,
@@ -108,14 +108,14 @@
         /// The answer.
         answer: Answer,
     },
-    /// Tell the caller that the query was not run.
+    /// Refuse the query, which was not run.
     Refuse {
         /// The caller's request.
         token: Token,
-        /// Why.
+        /// The reason, and when to retry.
         refusal: Refusal,
     },
-    /// A decision for the log.
+    /// Log a decision.
     Note(Note),
 }
 
@@ -128,32 +128,32 @@
     pub service: Service,
     /// Time left until its deadline.
     pub left: Millis,
-    /// What was decided.
-    pub what: What,
+    /// The kind of decision.
+    pub what: DecisionKind,
 }
 
-/// What was decided.
+/// The kind of a decision about a query.
 #[derive(Clone, Debug, Display)]
-pub enum What {
-    /// The query was admitted and takes this snapshot.
+pub enum DecisionKind {
+    /// The query was admitted and is answered from this snapshot.
     #[display("start {snapshot} over {shards} shards, {servable} servable")]
     Start {
         /// The snapshot.
         snapshot: Snapshot,
         /// Shards of its layout.
         shards: usize,
-        /// Shards that some group is believed to hold.
+        /// Shards that some group holds, as far as is known.
         servable: usize,
     },
-    /// The query begins again on another snapshot.
+    /// The query restarts on another snapshot.
     #[display("restart from {from} on {to}")]
     Restart {
-        /// The snapshot given up.
+        /// The previous snapshot.
         from: Snapshot,
-        /// The snapshot taken.
+        /// The next snapshot.
         to: Snapshot,
     },
-    /// A leaf request goes to a group.
+    /// A leaf request is sent to a group.
     #[display(
         "ask shard {shard}#{attempt} group {group} via {to} ({why}), {estimate:.1} ms expected, passed {passed:?}"
     )]
@@ -164,22 +164,22 @@
         attempt: u8,
         /// The group chosen.
         group: Group,
-        /// The VM asked.
+        /// The VM that the request is sent to.
         to: Vm,
-        /// Why it is asked.
-        why: Why,
-        /// When the answer is expected, in milliseconds.
+        /// The reason for the attempt.
+        why: AttemptReason,
+        /// Expected time to the answer in milliseconds.
         estimate: f64,
-        /// Groups passed over, with their estimates.
+        /// Groups not chosen, with their estimates in milliseconds.
         passed: SmallVec<[(Group, f64); 3]>,
     },
-    /// A shard will not be in the answer.
+    /// A shard is left out of the answer.
     #[display("miss shard {shard}: {reason}")]
     Miss {
         /// The shard.
         shard: Shard,
         /// Why.
-        reason: Reason,
+        reason: MissingReason,
     },
     /// The query is answered.
     #[display("answer {answered} of {shards} shards after {took}")]
@@ -188,30 +188,30 @@
         answered: usize,
         /// Shards of the layout.
         shards: usize,
-        /// Time since it was taken in.
+        /// Time since it was submitted.
         took: Millis,
     },
 }
 
-/// Why a leaf request goes out.
+/// Why a leaf request is sent.
 #[derive(Copy, Clone, Debug, Display, PartialEq, Eq)]
-pub enum Why {
+pub enum AttemptReason {
     /// The first attempt.
     #[display("first")]
     First,
-    /// The earlier attempt runs late.
+    /// The earlier attempt is late.
     #[display("hedge")]
     Hedge,
-    /// The earlier attempt brought nothing.
+    /// The earlier attempt failed.
     #[display("retry")]
     Retry,
-    /// The VM asked before is silent or gone.
+    /// The VM of the earlier attempt is unresponsive or disconnected.
     #[display("owner silent")]
     Silent,
-    /// The group asked before is crowded and has given the request back.
+    /// The group of the earlier attempt is overloaded and returned the request unsent.
     #[display("crowded")]
     Crowded,
-    /// The VM asked before named another owner.
+    /// The VM of the earlier attempt does not own the group and may have named the owner.
     #[display("moved")]
     Moved,
 }
--- a/crates/tgw-query/tests/world/mod.rs
+++ b/crates/tgw-query/tests/simulation/mod.rs
@@ -1,5 +1,6 @@
-//! One service of four shards with three replicas in three groups, whose owners answer in any order
-//! that a seed fixes: late, doubled, crossed, lost, without the snapshot, or not at all.
+//! Simulation of an entry with one service of four shards, each with three replicas in three
+//! groups. A seed determines the order and kind of the owners' outcomes: late, duplicate, from
+//! another VM, without the snapshot, or lost.
 
 use bytes::Bytes;
 use rand::{Rng, SeedableRng, rngs::SmallRng};
@@ -14,19 +15,19 @@
 use tgw_table::{Document, Row};
 use tgw_topology::{
     Catalog, Group, Layout, Place, Service, Snapshot, Upstream, Vm,
-    catalog::{Entry as Described, Index, Node, Partition},
+    catalog::{Entry as ServiceEntry, Index, Node, Partition},
     place::{Distance, Domain, Region},
 };
 
 pub(crate) const SERVICE: Service = Service(0);
-pub(crate) const ME: Vm = Vm(1);
-const OLD: Snapshot = Snapshot { version: 1, layout: Layout(1) };
+pub(crate) const LOCAL_VM: Vm = Vm(1);
+const INITIAL_SNAPSHOT: Snapshot = Snapshot { version: 1, layout: Layout(1) };
 const SHARDS: u16 = 4;
 
-/// Two VMs for each group; the first owns it.
-struct Fleet;
+/// Two VMs per group: the owner and its stand-in.
+struct StaticOwners;
 
-impl Owners for Fleet {
+impl Owners for StaticOwners {
     fn owners(&self, group: Group) -> SmallVec<[Vm; 2]> {
         let first = 10 + u64::from(group.domain.0);
         [Vm(first), Vm(first + 10)].into_iter().collect()
@@ -61,56 +62,57 @@
         id: Layout(id),
         shards: (0..shards).map(|_| replicas()).collect(),
     };
-    let entry = Described {
+    let entry = ServiceEntry {
         id: SERVICE,
         name: "desk".into(),
-        snapshots: vec![OLD],
+        snapshots: vec![INITIAL_SNAPSHOT],
         layouts: vec![layout(1, SHARDS), layout(2, 2 * SHARDS)],
     };
     catalog.services.insert(SERVICE, entry);
     catalog
 }
 
-/// What an owner found: the query's body, the snapshot and the shard, so that a foreign one shows.
-pub(crate) fn items(body: &[u8], snapshot: Snapshot, shard: u16) -> Bytes {
+/// Items that name the query's body, the snapshot and the shard, so that foreign items are
+/// detected.
+pub(crate) fn tagged_items(body: &[u8], snapshot: Snapshot, shard: u16) -> Bytes {
     let text = String::from_utf8_lossy(body);
     Bytes::from(format!("{text}|{}.{}|{shard}", snapshot.version, snapshot.layout.0))
 }
 
-struct Asked {
+struct Request {
     to: Vm,
     group: Group,
     leaf: Leaf,
 }
 
-pub(crate) struct World {
+pub(crate) struct Simulation {
     pub(crate) seed: u64,
     pub(crate) entry: Entry,
     pub(crate) now: Millis,
     pub(crate) catalog: Catalog,
     table: Document,
     rng: SmallRng,
-    asked: Vec<Asked>,
-    /// What was answered before and may come a second time.
-    answered: Vec<Event>,
+    requests: Vec<Request>,
+    /// Outcomes already delivered, which may be delivered again.
+    past_outcomes: Vec<Event>,
     /// Snapshots held in each domain.
     held: BTreeMap<u8, Vec<Snapshot>>,
-    bodies: BTreeMap<u64, Bytes>,
-    pub(crate) open: BTreeSet<u64>,
-    pub(crate) whole: u32,
+    query_bodies: BTreeMap<u64, Bytes>,
+    pub(crate) open_tokens: BTreeSet<u64>,
+    pub(crate) complete: u32,
     pub(crate) partial: u32,
     pub(crate) refused: u32,
-    next: u64,
+    next_token: u64,
 }
 
-impl World {
+impl Simulation {
     pub(crate) fn new(seed: u64) -> Self {
         let row = Row { least_coverage_pct: 0.0, deadline_ms: 400, ..Row::named("desk") };
         let rows = [(row.service.clone(), row)].into_iter().collect();
         Self {
             seed,
             entry: Entry::new(Options {
-                vm: ME,
+                vm: LOCAL_VM,
                 incarnation: seed,
                 places: 64,
                 adapt: true,
@@ -121,64 +123,64 @@
             catalog: catalog(),
             table: Document { edit: 1, rows, removed: BTreeMap::new() },
             rng: SmallRng::seed_from_u64(seed),
-            asked: Vec::new(),
-            answered: Vec::new(),
-            held: (0..3).map(|d| (d, vec![OLD])).collect(),
-            bodies: BTreeMap::new(),
-            open: BTreeSet::new(),
-            whole: 0,
+            requests: Vec::new(),
+            past_outcomes: Vec::new(),
+            held: (0..3).map(|d| (d, vec![INITIAL_SNAPSHOT])).collect(),
+            query_bodies: BTreeMap::new(),
+            open_tokens: BTreeSet::new(),
+            complete: 0,
             partial: 0,
             refused: 0,
-            next: 1,
+            next_token: 1,
         }
     }
 
-    /// One thing that may happen next.
+    /// Runs one random step.
     pub(crate) fn step(&mut self) {
         self.now += Millis::from_micros(self.rng.random_range(0..8000));
         match self.rng.random_range(0..100) {
             0..18 => self.submit(),
-            18..70 => self.answer(),
-            70..74 => self.repeat(),
-            74..76 => self.lose(),
+            18..70 => self.deliver_random_outcome(),
+            70..74 => self.redeliver_outcome(),
+            74..76 => self.drop_request(),
             76..84 => self.change_snapshots(),
             84..85 => {
                 let vm = Vm(10 + self.rng.random_range(0..3));
-                self.give(Event::Lost(vm));
+                self.handle_event(Event::Lost(vm));
             }
             85..86 => {
-                if let Some(token) = self.open.pop_first() {
-                    self.give(Event::Abandon(token));
+                if let Some(token) = self.open_tokens.pop_first() {
+                    self.handle_event(Event::Abandon(token));
                 }
             }
-            _ => self.give(Event::Tick),
+            _ => self.handle_event(Event::Tick),
         }
     }
 
-    /// Lets all that runs come to its deadline.
-    pub(crate) fn settle(&mut self) {
+    /// Advances the time until all queries have passed their deadline.
+    pub(crate) fn run_past_deadlines(&mut self) {
         for _ in 0..40 {
             self.now += Millis::new(50);
-            self.give(Event::Tick);
+            self.handle_event(Event::Tick);
         }
     }
 
     pub(crate) fn submit(&mut self) {
-        let token = self.next;
-        self.next += 1;
+        let token = self.next_token;
+        self.next_token += 1;
         let body = Bytes::from(format!("q{token}"));
-        self.bodies.insert(token, body.clone());
-        self.open.insert(token);
-        self.give(Event::Submit { token, service: SERVICE, within: None, body });
+        self.query_bodies.insert(token, body.clone());
+        self.open_tokens.insert(token);
+        self.handle_event(Event::Submit { token, service: SERVICE, within: None, body });
     }
 
-    /// An owner answers one request, as it may.
-    fn answer(&mut self) {
-        if self.asked.is_empty() {
+    /// Delivers a random outcome of a random request.
+    fn deliver_random_outcome(&mut self) {
+        if self.requests.is_empty() {
             return;
         }
-        let at = self.rng.random_range(0..self.asked.len());
-        let Asked { to, group, leaf } = self.asked.swap_remove(at);
+        let at = self.rng.random_range(0..self.requests.len());
+        let Request { to, group, leaf } = self.requests.swap_remove(at);
         let held = self.held[&group.domain.0].clone();
         let outcome = match self.rng.random_range(0..20) {
             0 => Outcome::Shed,
@@ -186,7 +188,7 @@
             2 => Outcome::Crowded,
             3 => Outcome::Moved(None),
             _ if !held.contains(&leaf.snapshot) => Outcome::Gone,
-            _ => Outcome::Items(items(&leaf.body, leaf.snapshot, leaf.key.shard.0)),
+            _ => Outcome::Items(tagged_items(&leaf.body, leaf.snapshot, leaf.key.shard.0)),
         };
         let stock: Stock = held.iter().map(|s| (*s, 1)).collect();
         let stock = self.rng.random_bool(0.7).then_some(stock);
@@ -199,26 +201,26 @@
             waited: Millis::ZERO,
             pressure: 0.1,
         };
-        self.answered.push(event.clone());
-        self.give(event);
+        self.past_outcomes.push(event.clone());
+        self.handle_event(event);
     }
 
-    /// The VMs that owe an answer.
-    pub(crate) fn asked_vms(&self) -> BTreeSet<Vm> {
-        self.asked.iter().map(|a| a.to).collect()
+    /// The VMs with open requests.
+    pub(crate) fn requested_vms(&self) -> BTreeSet<Vm> {
+        self.requests.iter().map(|a| a.to).collect()
     }
 
-    /// All VMs but these answer that what they were asked has failed.
-    pub(crate) fn fail_all_but(&mut self, silent: &BTreeSet<Vm>) {
-        while let Some(at) = self.asked.iter().position(|a| !silent.contains(&a.to)) {
-            let Asked { to, leaf, .. } = self.asked.swap_remove(at);
-            self.tell(to, &leaf, Outcome::Failed(Failure::Connect));
+    /// Delivers a failure for each request of all VMs but these.
+    pub(crate) fn fail_all_but(&mut self, unresponsive: &BTreeSet<Vm>) {
+        while let Some(at) = self.requests.iter().position(|a| !unresponsive.contains(&a.to)) {
+            let Request { to, leaf, .. } = self.requests.swap_remove(at);
+            self.deliver_outcome(to, &leaf, Outcome::Failed(Failure::Connect));
         }
     }
 
-    /// A VM answers a request, and says nothing else.
-    fn tell(&mut self, from: Vm, leaf: &Leaf, outcome: Outcome) {
-        self.give(Event::Outcome {
+    /// Delivers an outcome without snapshots or load.
+    fn deliver_outcome(&mut self, from: Vm, leaf: &Leaf, outcome: Outcome) {
+        self.handle_event(Event::Outcome {
             from,
             key: leaf.key,
             outcome,
@@ -229,50 +231,53 @@
         });
     }
 
-    /// These VMs turn each request away without naming another; all others answer. None may be asked
-    /// for a shard that it has turned away.
-    pub(crate) fn turn_away_or_answer(&mut self, leaving: &BTreeSet<Vm>) {
-        let mut turned = BTreeSet::new();
-        while let Some(Asked { to, leaf, .. }) = self.asked.pop() {
+    /// The `leaving` VMs decline each request without naming an owner; all others answer. Asserts
+    /// that no VM is sent a request again that it has declined.
+    pub(crate) fn decline_or_answer(&mut self, leaving: &BTreeSet<Vm>) {
+        let mut declined = BTreeSet::new();
+        while let Some(Request { to, leaf, .. }) = self.requests.pop() {
             let outcome = if leaving.contains(&to) {
-                assert!(turned.insert((to, leaf.key.shard)), "{to} is asked again");
+                assert!(
+                    declined.insert((to, leaf.key.shard)),
+                    "{to} is sent a declined request again"
+                );
                 Outcome::Moved(None)
             } else {
-                Outcome::Items(items(&leaf.body, leaf.snapshot, leaf.key.shard.0))
+                Outcome::Items(tagged_items(&leaf.body, leaf.snapshot, leaf.key.shard.0))
             };
             self.now += Millis::new(1);
-            self.tell(to, &leaf, outcome);
+            self.deliver_outcome(to, &leaf, outcome);
         }
     }
 
-    /// The group asked first for each shard gives it back, all others fail, and the first one, asked
-    /// again, answers.
-    pub(crate) fn crowd_once_then_fail_elsewhere(&mut self) {
+    /// The first group of each shard returns the request unsent, all others fail it, and the first
+    /// one answers the second request.
+    pub(crate) fn return_once_then_fail_elsewhere(&mut self) {
         let mut first: BTreeMap<u16, Group> = BTreeMap::new();
-        while let Some(Asked { to, group, leaf }) = self.asked.pop() {
+        while let Some(Request { to, group, leaf }) = self.requests.pop() {
             let shard = leaf.key.shard.0;
-            let again = first.get(&shard).copied();
-            let outcome = match again {
+            let first_group = first.get(&shard).copied();
+            let outcome = match first_group {
                 None => Outcome::Crowded,
-                Some(own) if own == group => {
-                    Outcome::Items(items(&leaf.body, leaf.snapshot, shard))
+                Some(first_group) if first_group == group => {
+                    Outcome::Items(tagged_items(&leaf.body, leaf.snapshot, shard))
                 }
                 Some(_) => Outcome::Failed(Failure::Closed),
             };
             first.entry(shard).or_insert(group);
             self.now += Millis::new(1);
-            self.tell(to, &leaf, outcome);
+            self.deliver_outcome(to, &leaf, outcome);
         }
     }
 
-    /// An answer that came before comes again, from another VM, for another attempt, or for the same
-    /// number in an earlier life of this VM.
-    fn repeat(&mut self) {
-        if self.answered.is_empty() {
+    /// Delivers an earlier outcome again: unchanged, from another VM, for another attempt, or for
+    /// another incarnation of this VM.
+    fn redeliver_outcome(&mut self) {
+        if self.past_outcomes.is_empty() {
             return;
         }
-        let at = self.rng.random_range(0..self.answered.len());
-        let mut event = self.answered[at].clone();
+        let at = self.rng.random_range(0..self.past_outcomes.len());
+        let mut event = self.past_outcomes[at].clone();
         if let Event::Outcome { from, key, .. } = &mut event {
             match self.rng.random_range(0..4) {
                 0 => from.0 ^= 1,
@@ -281,29 +286,30 @@
                 _ => {}
             }
         }
-        self.give(event);
+        self.handle_event(event);
     }
 
-    fn lose(&mut self) {
-        if !self.asked.is_empty() {
-            let at = self.rng.random_range(0..self.asked.len());
-            self.asked.swap_remove(at);
+    fn drop_request(&mut self) {
+        if !self.requests.is_empty() {
+            let at = self.rng.random_range(0..self.requests.len());
+            self.requests.swap_remove(at);
         }
     }
 
-    /// A snapshot arrives at a domain or goes from it; layouts change with versions.
+    /// Loads the newest snapshot in a domain or releases its oldest; a new one may change the
+    /// layout.
     fn change_snapshots(&mut self) {
         let domain = self.rng.random_range(0..3u8);
-        let known = self.catalog.services.get_mut(&SERVICE).expect("the service");
+        let service = self.catalog.services.get_mut(&SERVICE).expect("the service");
         if self.rng.random_bool(0.3) {
-            let newest = known.snapshots[0];
+            let newest = service.snapshots[0];
             let layout = Layout(self.rng.random_range(1..=2));
             let next = Snapshot { version: newest.version + 1, layout };
-            known.snapshots.insert(0, next);
-            known.snapshots.truncate(3);
+            service.snapshots.insert(0, next);
+            service.snapshots.truncate(3);
             self.catalog.version += 1;
         }
-        let newest = known.snapshots[0];
+        let newest = service.snapshots[0];
         let held = self.held.get_mut(&domain).expect("three domains");
         if !held.contains(&newest) {
             held.insert(0, newest);
@@ -312,40 +318,40 @@
         }
     }
 
-    pub(crate) fn give(&mut self, event: Event) {
+    pub(crate) fn handle_event(&mut self, event: Event) {
         let mut out = Vec::new();
         let index = Index::new(&self.catalog);
         let view = View {
             catalog: &self.catalog,
             index: &index,
             table: Some(&self.table),
-            owners: &Fleet,
+            owners: &StaticOwners,
             here: place(0),
             distance: Distance { local: 0.1, domains: 1.0, regions: 10.0 },
         };
         self.entry.on(self.now, event, &view, &mut out);
         for action in out {
-            self.act(action);
+            self.apply_action(action);
         }
     }
 
-    fn act(&mut self, action: Action) {
+    fn apply_action(&mut self, action: Action) {
         match action {
-            Action::Ask { to, group, leaf, .. } => self.asked.push(Asked { to, group, leaf }),
+            Action::Ask { to, group, leaf, .. } => self.requests.push(Request { to, group, leaf }),
             Action::Cancel { key, .. } => {
-                // The cancellation may be too late: the answer may still come.
+                // A cancellation may arrive too late, so the outcome may still be delivered.
                 if self.rng.random_bool(0.5) {
-                    self.asked.retain(|a| a.leaf.key != key);
+                    self.requests.retain(|a| a.leaf.key != key);
                 }
             }
             Action::Answer { token, answer } => {
-                assert!(self.open.remove(&token), "seed {}: answered twice", self.seed);
-                self.check(token, &answer);
+                assert!(self.open_tokens.remove(&token), "seed {}: answered twice", self.seed);
+                self.check_answer(token, &answer);
             }
             Action::Refuse { token, .. } => {
-                assert!(self.open.remove(&token), "seed {}: answered twice", self.seed);
-                let body = &self.bodies[&token];
-                let sent = self.asked.iter().any(|a| a.leaf.body == *body);
+                assert!(self.open_tokens.remove(&token), "seed {}: answered twice", self.seed);
+                let body = &self.query_bodies[&token];
+                let sent = self.requests.iter().any(|a| a.leaf.body == *body);
                 assert!(!sent, "seed {}: refused as not run, but sent", self.seed);
                 self.refused += 1;
             }
@@ -353,25 +359,29 @@
         }
     }
 
-    /// The promises about an answer.
-    fn check(&mut self, token: u64, answer: &Answer) {
+    /// Checks that an answer is consistent with its query, snapshot and coverage.
+    fn check_answer(&mut self, token: u64, answer: &Answer) {
         let seed = self.seed;
-        let body = self.bodies[&token].clone();
+        let body = self.query_bodies[&token].clone();
         let layout = answer.snapshot.layout;
         let shards = self.catalog.partition(SERVICE, layout).expect("a layout").shards.len();
         assert_eq!(answer.coverage.shards, shards, "seed {seed}: shards of another layout");
         let mut seen = BTreeSet::new();
         for (shard, found) in &answer.items {
-            assert!(seen.insert(shard.0), "seed {seed}: shard {shard} stands twice");
-            let expected = items(&body, answer.snapshot, shard.0);
+            assert!(seen.insert(shard.0), "seed {seed}: shard {shard} is in the answer twice");
+            let expected = tagged_items(&body, answer.snapshot, shard.0);
             assert_eq!(*found, expected, "seed {seed}: items of another query, snapshot or shard");
         }
         let missing: BTreeSet<u16> = answer.coverage.missing.iter().map(|m| m.0.0).collect();
-        assert_eq!(answer.coverage.answered, seen.len(), "seed {seed}: coverage not as merged");
-        assert!(seen.is_disjoint(&missing), "seed {seed}: a shard is both there and missing");
+        assert_eq!(
+            answer.coverage.answered,
+            seen.len(),
+            "seed {seed}: coverage differs from the merged items"
+        );
+        assert!(seen.is_disjoint(&missing), "seed {seed}: a shard is both answered and missing");
         assert_eq!(seen.len() + missing.len(), shards, "seed {seed}: a shard is unaccounted for");
         if missing.is_empty() {
-            self.whole += 1;
+            self.complete += 1;
         } else {
             self.partial += 1;
         }
