--- a/crates/tgw-forward/tests/restart/mod.rs
+++ b/crates/tgw-forward/tests/restart/mod.rs
@@ -1,4 +1,4 @@
-//! An upstream that starts again under its identity is another process.
+//! An upstream that restarts under its identity is a new process.
 
 use crate::world::{NEAR, World, entry, route, shards};
 use test_case::test_case;
@@ -10,130 +10,132 @@
 };
 use tgw_route::{Safety, Target};
 
-fn one() -> Target {
+fn one_service() -> Target {
     Target::One("s0".into())
 }
 
-fn started(at: u64) -> Entry {
+fn incarnation(at: u64) -> Entry {
     Entry { started: at, ..entry("s0-near", "s0", NEAR) }
 }
 
-fn near(world: &World) -> Entry {
+fn near_entry(world: &World) -> Entry {
     let key = world.core.fleet.key("s0-near").unwrap();
     world.core.fleet.get(key).unwrap().entry.clone()
 }
 
-// An upstream was paused, its sends overdue, and was then started anew under its identity. Nothing stands
-// at the new process: requests that went to another region because of the old one come back at once.
+// An upstream was paused with overdue sends, and restarts under its identity. The new process has
+// none of these sends: requests that went to another region return at once.
 #[test]
-fn a_new_process_is_not_blamed_for_the_one_before() {
+fn new_process_does_not_inherit_overdue_sends() {
     let mut world = World::new(1);
-    let route = route(one(), Safety::Idempotent);
-    world.core.fleet.put(world.now, started(100));
+    let route = route(one_service(), Safety::Idempotent);
+    world.core.fleet.put(world.now, incarnation(100));
     world.start(&route);
-    world.pass(150);
+    world.advance(150);
     world.start(&route);
     assert_eq!(&*world.upstream(0), "s0-far");
-    world.core.fleet.put(world.now, started(200));
+    world.core.fleet.put(world.now, incarnation(200));
     world.start(&route);
     assert_eq!(&*world.upstream(0), "s0-near");
 }
 
-// A request was on its way when the upstream started again, with the connection's reset still to come. What
-// becomes of it says nothing of the new process, which would be passed over for a quarter of a second.
+// A request is in flight when the upstream restarts, before its connection is reset. Its outcome
+// must not apply to the new process, which would be backed off from for a quarter of a second.
 #[test]
-fn the_end_of_a_send_to_the_process_before_counts_for_nobody() {
+fn outcome_of_send_to_previous_process_is_ignored() {
     let mut world = World::new(1);
-    let route = route(one(), Safety::Once);
-    world.core.fleet.put(world.now, started(100));
+    let route = route(one_service(), Safety::Once);
+    world.core.fleet.put(world.now, incarnation(100));
     world.start(&route);
-    world.core.fleet.put(world.now, started(200));
+    world.core.fleet.put(world.now, incarnation(200));
     let answer = world.end(0, Ended::Broken, Sign::Unreachable);
-    assert!(matches!(answer, Some(Answer::Failed(Cause::Upstreams))), "{answer:?}");
+    assert!(matches!(answer, Some(Answer::Failed(Cause::UpstreamsFailed))), "{answer:?}");
     world.start(&route);
     assert_eq!(&*world.upstream(0), "s0-near");
 }
 
-// An order was accepted by a process that ended before its reply. The identity serves again at once. The
-// order may have run: it is neither sent to the new process nor called "not run".
+// An upstream accepts an order, terminates before its reply, and restarts under its identity. The
+// order may have been executed: it is neither sent to the new process nor reported as not executed.
 #[test_case(Ended::Broken; "reset")]
 #[test_case(Ended::Silent; "silent")]
-fn what_may_have_run_is_not_repeated_to_the_new_process(ended: Ended) {
+fn possibly_executed_order_is_not_sent_to_new_process(ended: Ended) {
     let mut world = World::new(1);
-    world.core.fleet.put(world.now, started(100));
-    world.start(&route(one(), Safety::Once));
+    world.core.fleet.put(world.now, incarnation(100));
+    world.start(&route(one_service(), Safety::Once));
     assert_eq!(&*world.upstream(0), "s0-near");
-    world.core.fleet.put(world.now, started(200));
+    world.core.fleet.put(world.now, incarnation(200));
     let answer = world.end(0, ended, Sign::Broken);
-    assert!(matches!(answer, Some(Answer::Failed(Cause::Upstreams))), "{answer:?}");
+    assert!(matches!(answer, Some(Answer::Failed(Cause::UpstreamsFailed))), "{answer:?}");
     assert_eq!(world.orders.len(), 1);
 }
 
-// The same for a part of a query, which may run twice: the new process serves it.
+// The same for a part of a query, which may be executed twice: the new process serves it.
 #[test]
-fn a_part_lost_with_its_process_is_asked_of_the_new_one() {
+fn lost_part_is_retried_at_new_process() {
     let mut world = World::new(1);
     world.core.fleet.remove("s0-far");
-    world.core.fleet.put(world.now, started(100));
+    world.core.fleet.put(world.now, incarnation(100));
     world.start(&route(shards(1), Safety::Idempotent));
-    world.core.fleet.put(world.now, started(200));
+    world.core.fleet.put(world.now, incarnation(200));
     assert!(world.end(0, Ended::Broken, Sign::Broken).is_none());
     assert_eq!(world.orders.len(), 2);
     assert!(matches!(world.reply(1, &[]), Some(Answer::Merged { missing: 0, .. })));
 }
 
-// The last heartbeat of a process takes effect in the store after the first one of its successor. Requests
-// would go to an address at which nothing listens, or be kept from one that does not leave at all.
+// The last heartbeat of a process reaches the store after the first one of its successor. If it
+// were applied, requests would go to an address without a listener, or avoid an upstream that is
+// not draining.
 #[test]
-fn the_last_word_of_an_earlier_process_is_not_taken() {
+fn late_heartbeat_of_previous_process_is_ignored() {
     let mut world = World::new(1);
-    world.core.fleet.put(world.now, started(200));
-    world.core.fleet.put(world.now, Entry { draining: true, ..started(100) });
-    assert_eq!(near(&world), started(200));
+    world.core.fleet.put(world.now, incarnation(200));
+    world.core.fleet.put(world.now, Entry { draining: true, ..incarnation(100) });
+    assert_eq!(near_entry(&world), incarnation(200));
 }
 
-// A leaving upstream starts again. It takes requests: what left was its predecessor.
+// A draining upstream restarts. It takes requests: its predecessor was draining.
 #[test]
-fn a_restart_ends_the_drain_of_the_process_before() {
+fn restart_ends_drain_of_previous_process() {
     let mut world = World::new(1);
-    world.core.fleet.put(world.now, Entry { draining: true, ..started(100) });
-    world.core.fleet.put(world.now, started(200));
-    world.start(&route(one(), Safety::Idempotent));
+    world.core.fleet.put(world.now, Entry { draining: true, ..incarnation(100) });
+    world.core.fleet.put(world.now, incarnation(200));
+    world.start(&route(one_service(), Safety::Idempotent));
     assert_eq!(&*world.upstream(0), "s0-near");
 }
 
-// Entries lapse while the store is away, and an upstream is restarted meanwhile. Its new entry is the one
-// that is kept when the time for old ones to come back is over.
+// Entries lapse during an outage of the store, and an upstream restarts meanwhile. Its new entry is
+// kept when the retention of the old one ends.
 #[test]
-fn a_restart_in_an_outage_of_the_store_is_not_given_up() {
+fn upstream_restarted_during_outage_is_kept() {
     let mut world = World::new(1);
     let (mut catalog, fleet) = (Catalog::default(), &mut world.core.fleet);
-    catalog.listed(Millis::ZERO, vec![started(100)], &[], fleet);
+    catalog.listed(Millis::ZERO, vec![incarnation(100)], &[], fleet);
     catalog.lost(Millis::new(4_900));
     catalog.listed(Millis::new(5_000), vec![], &[], fleet);
-    catalog.changed(Millis::new(5_500), started(200), fleet);
+    catalog.changed(Millis::new(5_500), incarnation(200), fleet);
     assert!(catalog.tick(Millis::new(9_000), fleet).is_empty());
-    assert_eq!(near(&world), started(200));
+    assert_eq!(near_entry(&world), incarnation(200));
 }
 
-// Another VM still tells that the old process is late. The new one is not, and would be passed over.
+// Another VM still reports that the previous process is late. The report must not make requests
+// avoid the new process.
 #[test]
-fn word_of_the_process_before_is_not_taken_for_the_new_one() {
+fn report_about_previous_process_is_ignored() {
     let mut world = World::new(1);
-    world.core.fleet.put(world.now, started(200));
-    let word = Word { overdue: true, expected: 400.0 };
-    world.core.fleet.told(world.now, "s0-near", 100, word);
-    world.start(&route(one(), Safety::Idempotent));
+    world.core.fleet.put(world.now, incarnation(200));
+    let report = Word { overdue: true, expected: 400.0 };
+    world.core.fleet.told(world.now, "s0-near", 100, report);
+    world.start(&route(one_service(), Safety::Idempotent));
     assert_eq!(&*world.upstream(0), "s0-near");
 }
 
-// Somebody else overwrites the entry of an upstream with something unreadable right after an outage of the
-// store, while lapsed entries are waited for. It names no upstream, from then on.
+// The entry of an upstream is overwritten with an unreadable one right after an outage of the
+// store, while lapsed entries are kept. The upstream is removed at once.
 #[test]
-fn an_entry_that_turns_unreadable_is_not_waited_for() {
+fn unreadable_entry_is_not_retained() {
     let mut world = World::new(1);
     let (mut catalog, fleet) = (Catalog::default(), &mut world.core.fleet);
-    catalog.listed(Millis::ZERO, vec![started(100)], &[], fleet);
+    catalog.listed(Millis::ZERO, vec![incarnation(100)], &[], fleet);
     catalog.lost(Millis::new(4_900));
     catalog.listed(Millis::new(5_000), vec![], &["s0-near".into()], fleet);
     assert_eq!(fleet.key("s0-near"), None);
--- a/crates/tgw-forward/tests/window/mod.rs
+++ b/crates/tgw-forward/tests/window/mod.rs
@@ -1,4 +1,4 @@
-//! Budgets that slide with time.
+//! Sliding-window budgets.
 
 use crate::world::{World, route};
 use tgw_clock::Millis;
@@ -10,12 +10,12 @@
 };
 use tgw_route::{Safety, Target};
 
-fn one() -> Target {
+fn one_service() -> Target {
     Target::One("s0".into())
 }
 
-// Replies are lost in numbers, and every request is sent again. In any ten seconds the extra sends
-// of a service must stay within a fifth of its requests and the constant, however they are spread.
+// Many replies are lost, and every request is retried. In any ten seconds the extra sends of a
+// service must stay within a fifth of its requests and the constant, however they are distributed.
 #[test]
 fn no_span_of_the_windows_length_holds_more_than_the_budget() {
     let mut window = Window::default();
@@ -24,7 +24,7 @@
         let now = Millis::new(step * 10);
         let burst = (step / 700) % 2 == 0;
         if step % 10 == 0 {
-            window.request(now);
+            window.count_request(now);
         }
         let allowed = window.allowed(now, 0.2, 5.0);
         if burst && window.spend(now, allowed) {
@@ -42,7 +42,7 @@
 fn hedges_leave_budget_for_retries() {
     let mut world = World::with_budget(1, Budget { share: 0.0, constant: 16.0 * 8.0 });
     world.core.set_vms(Vms { all: 8, near: 1 });
-    let route = route(one(), Safety::Idempotent);
+    let route = route(one_service(), Safety::Idempotent);
     let mut hedged = 0;
     for _ in 0..20 {
         world.start(&route);
--- a/crates/tgw-forward/tests/world/mod.rs
+++ b/crates/tgw-forward/tests/world/mod.rs
@@ -57,27 +57,27 @@
     pub(crate) core: Core,
     pub(crate) now: Millis,
     pub(crate) orders: Vec<Order>,
-    /// Of the requests that are started.
-    pub(crate) print: Fingerprint,
+    /// Fingerprint of the requests that are started.
+    pub(crate) fingerprint: Fingerprint,
     plan: Option<Plan>,
 }
 
 impl World {
-    /// `services` services with one near and one far upstream each, and a generous budget.
+    /// `services` services with one near and one far upstream each, and a large budget.
     pub(crate) fn new(services: usize) -> Self {
         Self::with_budget(services, Budget { share: 1.0, constant: 1_000.0 })
     }
 
     pub(crate) fn with_budget(services: usize, budget: Budget) -> Self {
-        Self::with(services, budget, Policy::default())
+        Self::with_budget_and_policy(services, budget, Policy::default())
     }
 
-    /// As [`Self::new`], deciding by `policy`.
-    pub(crate) fn of(services: usize, policy: Policy) -> Self {
-        Self::with(services, Budget { share: 1.0, constant: 1_000.0 }, policy)
+    /// As [`Self::new`], with a given policy.
+    pub(crate) fn with_policy(services: usize, policy: Policy) -> Self {
+        Self::with_budget_and_policy(services, Budget { share: 1.0, constant: 1_000.0 }, policy)
     }
 
-    fn with(services: usize, budget: Budget, policy: Policy) -> Self {
+    fn with_budget_and_policy(services: usize, budget: Budget, policy: Policy) -> Self {
         let regions = [(NEAR.into(), "r1".into()), (FAR.into(), "r2".into())].into();
         let mut core = Core::new(Place { domain: NEAR.into(), regions }, budget, policy);
         let mut config = Config::default();
@@ -97,17 +97,17 @@
             core,
             now: Millis::new(1_000),
             orders: Vec::new(),
-            print: Fingerprint::default(),
+            fingerprint: Fingerprint::default(),
             plan: None,
         }
     }
 
-    pub(crate) fn pass(&mut self, ms: u64) {
+    pub(crate) fn advance(&mut self, ms: u64) {
         self.now += Millis::new(ms);
     }
 
     pub(crate) fn start(&mut self, route: &Rc<Route>) -> Option<Answer> {
-        let print = self.print;
+        let print = self.fingerprint;
         let options =
             Options { route: route.clone(), patience: None, opened: false, spread: 0, print };
         self.plan = Some(Plan::new(self.now, &options));
@@ -119,20 +119,21 @@
         self.on(Event::Tick)
     }
 
-    /// Moves the clock to when the plan wants to be woken. A send is first found late, which is told to
-    /// others, and then hedged: where the first brings nothing about, to the second.
+    /// Moves the clock to the plan's next wake-up. A send is first found late, which is reported,
+    /// and then hedged: if the first wake-up sends nothing, moves to the second.
     pub(crate) fn wake(&mut self) -> Option<Answer> {
         let before = self.orders.len();
-        self.sleep().or_else(|| if self.orders.len() == before { self.sleep() } else { None })
+        self.wake_once()
+            .or_else(|| if self.orders.len() == before { self.wake_once() } else { None })
     }
 
-    fn sleep(&mut self) -> Option<Answer> {
+    fn wake_once(&mut self) -> Option<Answer> {
         self.now = self.plan.as_ref().unwrap().wake(self.now);
         self.tick()
     }
 
-    /// Wakes the plan until it answers, with nothing else happening.
-    pub(crate) fn outwait(&mut self) -> Answer {
+    /// Wakes the plan until it answers, with no other events.
+    pub(crate) fn run_to_answer(&mut self) -> Answer {
         loop {
             if let Some(answer) = self.wake() {
                 return answer;
@@ -141,15 +142,15 @@
     }
 
     /// Ends the order at `index` of all so far.
-    pub(crate) fn end(&mut self, index: usize, ended: Ended, sign: Sign) -> Option<Answer> {
+    pub(crate) fn end(&mut self, index: usize, ended: Ended, outcome: Sign) -> Option<Answer> {
         let order = self.orders[index].clone();
-        self.core.fleet.end(self.now, order.ticket, sign);
+        self.core.fleet.end(self.now, order.ticket, outcome);
         self.on(Event::Ended { part: order.part, upstream: order.ticket.upstream, ended })
     }
 
     pub(crate) fn reply(&mut self, index: usize, records: &[u8]) -> Option<Answer> {
-        let seal = format!("seal-{index}");
-        self.end(index, answered(200, Some(&seal), records), Sign::Reply)
+        let signature = format!("seal-{index}");
+        self.end(index, answered(200, Some(&signature), records), Sign::Reply)
     }
 
     pub(crate) fn on(&mut self, event: Event) -> Option<Answer> {
@@ -168,11 +169,11 @@
     }
 }
 
-pub(crate) fn answered(status: u16, seal: Option<&str>, body: &[u8]) -> Ended {
+pub(crate) fn answered(status: u16, signature: Option<&str>, body: &[u8]) -> Ended {
     Ended::Answered(Box::new(Response {
         status: StatusCode::from_u16(status).unwrap(),
         headers: HeaderMap::new(),
-        seal: seal.map(|s| HeaderValue::from_str(s).unwrap()),
+        seal: signature.map(|s| HeaderValue::from_str(s).unwrap()),
         load: None,
         body: Bytes::copy_from_slice(body),
     }))
