--- a/crates/tgw-node/src/step.rs
+++ b/crates/tgw-node/src/event.rs
@@ -13,44 +13,44 @@
 use tgw_query::{
     Answer,
     answer::Refusal,
-    step::{Note as EntryNote, Token},
+    step::{Note as QueryNote, Token},
 };
 use tgw_table::Document;
 use tgw_topology::{Catalog, Group, Place, Service, Upstream, Vm, place::Distance};
 
-/// How the core works.
+/// Options of the core.
 pub struct Options {
-    /// The entry's options.
+    /// Options of the query fan-out.
     pub entry: tgw_query::Options,
-    /// Where the VM lies.
+    /// The VM's region and failure domain.
     pub place: Place,
     /// Network delays that estimates start from.
     pub distance: Distance,
-    /// How upstreams are chosen in a group.
+    /// Makes the policy that chooses upstreams in a group.
     pub policy: Box<dyn Fn(Group) -> Box<dyn Policy> + Send>,
-    /// How groups are dispatched to; budgets are taken from the table's rows.
+    /// Options of the dispatch to groups; budgets are replaced by those in the table's rows.
     pub dispatch: owner::Options,
 }
 
-/// Who a core is and how it is set up: with its inputs, all that its decisions depend on.
+/// Identity and configuration of a core. Its decisions depend on these and its inputs only.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Identity {
     /// The VM.
     pub vm: Vm,
-    /// This life of the VM.
+    /// The VM's incarnation.
     pub incarnation: u64,
-    /// Where it lies.
+    /// Its region and failure domain.
     pub place: Place,
     /// Network delays that estimates start from.
     pub distance: Distance,
-    /// Queries that run at once over all services.
+    /// Most queries that run at once, over all services.
     pub places: u32,
-    /// One in this many queries has its decisions logged.
+    /// The decisions of one in this many queries are logged.
     pub sample: u64,
 }
 
 impl Options {
-    /// The core as it ships.
+    /// The options used in production.
     pub fn shipped(identity: &Identity) -> Self {
         let Identity { vm, incarnation, place, distance, places, sample } = identity.clone();
         Self {
@@ -66,113 +66,113 @@
 /// A caller's order.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Intake {
-    /// Names the caller's request.
+    /// Identifies the caller's request.
     pub token: Token,
     /// The caller's key.
     pub key: tgw_order::Key,
-    /// Seconds since the key was made; `None` if it is from the future.
+    /// Seconds since the key was made; `None` if the key's time is in the future.
     pub age_s: Option<u64>,
-    /// Time that the caller gives, if less than the row's.
+    /// The caller's timeout; applies if it is shorter than the one in the service's row.
     pub within: Option<Millis>,
-    /// What is ordered.
+    /// The body of the order.
     #[serde(with = "tgw_topology::text")]
     pub body: bytes::Bytes,
 }
 
-/// Listens to all that a core is told and does, as for a trace.
+/// Observes all inputs and outputs of a core, for example to record a trace.
 pub trait Tap: Send {
-    /// The core is told something.
+    /// Called with each input before it is handled.
     fn input(&mut self, now: Millis, input: &Input);
-    /// What it does about that.
+    /// Called with the outputs of that input.
     fn outputs(&mut self, outputs: &[Output]);
 }
 
-/// What the core is told.
+/// An input of the core.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Input {
     /// A caller's search.
     Submit {
-        /// Names the caller's request.
+        /// Identifies the caller's request.
         token: Token,
         /// The service.
         service: Service,
-        /// Time that the caller gives, if less than the row's.
+        /// The caller's timeout; applies if it is shorter than the one in the service's row.
         within: Option<Millis>,
-        /// What is searched for.
+        /// The body of the search.
         #[serde(with = "tgw_topology::text")]
         body: bytes::Bytes,
     },
-    /// The caller went away.
+    /// The caller disconnected.
     Abandon(Token),
     /// A message from another VM.
     Peer(Vm, Message),
-    /// The connection to a VM broke, or it is dead.
+    /// The connection to a VM broke, or the VM is dead.
     Lost(Vm),
-    /// A sending to an upstream has ended.
+    /// A send to an upstream has ended.
     Done {
-        /// The sending.
+        /// The send.
         ticket: Ticket,
         /// The reply, or why there is none.
         result: Result<Reply, Failure>,
         /// The snapshots that the upstream says it holds.
         held: Option<Held>,
     },
-    /// The upstream's own word, or the platform's, that it leaves.
+    /// The upstream or the platform reports that the upstream leaves.
     Leaving(Upstream),
-    /// An upstream answers with another incarnation than before.
+    /// An upstream answered with a different incarnation than before.
     Restarted(Upstream),
-    /// An upstream's own word on the snapshots it holds.
+    /// An upstream reported the snapshots that it holds.
     Held(Upstream, Held),
     /// A caller's order.
     Order(Intake),
-    /// The store's answer to a call of the clerk.
+    /// The store's answer to a call requested by [`Output::Store`].
     Store(tgw_order::Event),
-    /// Services and upstreams as the platform describes them now.
+    /// The platform's current description of services and upstreams.
     Catalog(Arc<Catalog>),
     /// A newer edition of the table.
     Table(Arc<Document>),
-    /// The VMs as membership sees them now.
+    /// Membership's current view of the VMs.
     Directory(Arc<Directory>),
-    /// The VM was paused: others may have taken over what it owned.
+    /// The VM was paused: other VMs may have taken over its groups.
     Paused,
-    /// The VM leaves: refuse new queries, finish the rest.
+    /// The VM leaves: reject new queries, finish those in flight.
     Drain,
     /// Time has passed.
     Tick,
 }
 
-/// What must be done.
+/// An output of the core: what its caller must do.
 #[derive(Debug)]
 pub enum Output {
     /// Send a message to another VM.
     Tell(Vm, Message),
     /// Send a request to an upstream.
     Send {
-        /// Names the sending in [`Input::Done`].
+        /// Identifies the send in [`Input::Done`].
         ticket: Ticket,
         /// The upstream.
         upstream: Upstream,
         /// The request.
         leaf: Leaf,
     },
-    /// Ask an upstream to stop.
+    /// Cancel a request at an upstream.
     Abort {
-        /// The sending.
+        /// The send.
         ticket: Ticket,
         /// The upstream.
         upstream: Upstream,
     },
     /// Answer a caller.
     Answer(Token, Answer),
-    /// Tell a caller that the query was not run.
+    /// Reject a caller's query without running it.
     Refuse(Token, Refusal),
-    /// Tell a caller what came of an order.
+    /// Answer a caller's order.
     Ordered(Token, tgw_order::Outcome),
-    /// A call of the platform's store for the clerk, answered by [`Input::Store`].
+    /// Call the platform's store to claim or record orders; answered by [`Input::Store`].
     Store(tgw_order::Action),
-    /// Dispatching to these upstreams begins: connect to them.
+    /// Connect to these upstreams, as dispatch to them begins.
     Connect(SmallVec<[Upstream; 4]>),
-    /// Dispatching to these upstreams has ended: close their connections.
+    /// Close the connections to these upstreams, as dispatch to them has ended.
     Disconnect(SmallVec<[Upstream; 4]>),
     /// A decision for the log.
     Note(Note),
@@ -181,23 +181,23 @@
 /// A decision for the log.
 #[derive(Clone, Debug)]
 pub enum Note {
-    /// About a query, at its entry.
-    Entry(EntryNote),
-    /// About a leaf request or an upstream, at the owner.
+    /// About a query, at the VM that received it.
+    Entry(QueryNote),
+    /// About a leaf request or an upstream, at the group's owner.
     Dispatch(owner::Note),
-    /// About a group.
+    /// About the ownership of a group.
     Placement(Placement),
 }
 
-/// A move of a group between VMs.
+/// A change in how this VM serves a group.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Placement {
     /// The group.
     pub group: Group,
     /// Its upstreams.
     pub upstreams: SmallVec<[Upstream; 4]>,
-    /// Its owner now, as this VM sees it.
+    /// Its current owner in this VM's view of membership.
     pub owner: Option<Vm>,
-    /// What this VM does, and why.
+    /// The reason for the change.
     pub what: &'static str,
 }
--- a/crates/tgw-node/src/groups.rs
+++ b/crates/tgw-node/src/groups.rs
@@ -2,146 +2,152 @@
 use tgw_clock::Millis;
 use tgw_topology::{Group, Vm};
 
-/// How long a new owner, or a stand-in, uses half of the slots: the old one may still use the rest.
-/// After that the upstream's own queue and shedding bound the harm; at half of the slots for longer,
-/// a load of one half would fill the owner's queue.
-const TAKE_OVER: Millis = Millis::new(100);
-/// How long a stand-in keeps a group after it was last asked.
-const STAND_IN: Millis = Millis::new(3000);
-/// The part of the slots used while another VM may use the rest.
-pub(crate) const HALF: f64 = 0.5;
+/// How long a new owner or stand-in uses only half of the slots, as the previous owner may still use the
+/// rest. Afterwards the upstream's own queue and load shedding limit an overload. With half of the slots
+/// for longer, a load of one half would fill the owner's queue.
+const TAKEOVER_INTERVAL_MS: Millis = Millis::new(100);
+/// How long a stand-in serves a group after the last request that asked it to.
+const STAND_IN_RETENTION_MS: Millis = Millis::new(3000);
+/// The share of the slots used while another VM may use the rest.
+pub(crate) const TAKEOVER_SLOT_SHARE: f64 = 0.5;
 
-/// In which right this VM dispatches to a group.
+/// The role in which this VM dispatches to a group.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Right {
-    /// It owns it; `since` is when the time of the half share began, if it has not ended.
-    Owner { since: Option<Millis> },
-    /// It stands in for the owner, as long as it is asked to.
-    StandIn { since: Option<Millis>, asked: Millis },
-    /// It has handed it over and finishes what runs.
+pub(crate) enum Role {
+    /// The owner; `takeover_since` is when the takeover at half share began, until it has ended.
+    Owner { takeover_since: Option<Millis> },
+    /// A stand-in for the owner, as long as requests ask it to.
+    StandIn { takeover_since: Option<Millis>, last_asked: Millis },
+    /// No longer serves the group and finishes the requests in flight.
     Released,
 }
 
-/// What must be done about a group.
+/// What the caller must do about a group.
 #[derive(Copy, Clone, Debug, PartialEq)]
-pub(crate) enum Step {
-    /// Begin to dispatch.
-    Take,
-    /// Use this part of the slots.
-    Share(f64),
-    /// Stop taking requests and pass what waits to the owner.
+pub(crate) enum Effect {
+    /// Start dispatching to it.
+    Serve,
+    /// Use this share of its slots.
+    SetSlotShare(f64),
+    /// Stop accepting requests and pass the queued ones to this owner.
     HandOver(Option<Vm>),
-    /// Forget it once nothing runs.
-    Forget,
+    /// Remove it once no request is in flight.
+    Remove,
 }
 
 /// The groups that this VM dispatches to.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Groups {
-    rights: BTreeMap<Group, Right>,
+    roles: BTreeMap<Group, Role>,
 }
 
 impl Groups {
-    /// Whether a request for the group is taken.
+    /// Whether requests for the group are accepted.
     pub(crate) fn serves(&self, group: Group) -> bool {
-        matches!(self.rights.get(&group), Some(Right::Owner { .. } | Right::StandIn { .. }))
+        matches!(self.roles.get(&group), Some(Role::Owner { .. } | Role::StandIn { .. }))
     }
 
-    /// Whether this VM has any right to the group, even one that has ended.
-    pub(crate) fn has(&self, group: Group) -> bool {
-        self.rights.contains_key(&group)
+    /// Whether this VM has any role for the group, including a released one.
+    pub(crate) fn contains(&self, group: Group) -> bool {
+        self.roles.contains_key(&group)
     }
 
     pub(crate) fn owned(&self) -> impl Iterator<Item = Group> {
-        let owned = |right: &Right| matches!(right, Right::Owner { .. });
-        self.rights.iter().filter(move |(_, right)| owned(right)).map(|(group, _)| *group)
+        let owned = |role: &Role| matches!(role, Role::Owner { .. });
+        self.roles.iter().filter(move |(_, role)| owned(role)).map(|(group, _)| *group)
     }
 
-    /// A VM has asked this one in the owner's place.
-    pub(crate) fn stand_in(&mut self, now: Millis, group: Group) -> Vec<Step> {
-        match self.rights.get_mut(&group) {
-            Some(Right::Owner { .. }) => Vec::new(),
-            Some(Right::StandIn { asked, .. }) => {
-                *asked = now;
+    /// Handles a request that asks this VM to stand in for the owner.
+    pub(crate) fn stand_in(&mut self, now: Millis, group: Group) -> Vec<Effect> {
+        match self.roles.get_mut(&group) {
+            Some(Role::Owner { .. }) => Vec::new(),
+            Some(Role::StandIn { last_asked, .. }) => {
+                *last_asked = now;
                 Vec::new()
             }
-            Some(Right::Released) | None => {
-                self.rights.insert(group, Right::StandIn { since: Some(now), asked: now });
-                vec![Step::Take, Step::Share(HALF)]
+            Some(Role::Released) | None => {
+                self.roles
+                    .insert(group, Role::StandIn { takeover_since: Some(now), last_asked: now });
+                vec![Effect::Serve, Effect::SetSlotShare(TAKEOVER_SLOT_SHARE)]
             }
         }
     }
 
-    /// The view of ownership has changed: `owner` is the group's owner, `me` this VM.
-    pub(crate) fn settle(
+    /// Applies a new view of membership: `owner` is the group's owner, `me` this VM, and `only_vm` says
+    /// that no other VM is known.
+    pub(crate) fn reconcile(
         &mut self,
         now: Millis,
         group: Group,
         owner: Option<Vm>,
         me: Vm,
-        sole: bool,
-    ) -> Vec<Step> {
-        let mine = owner == Some(me);
-        match self.rights.get(&group).copied() {
-            Some(Right::Owner { .. }) if mine => Vec::new(),
-            // The stand-in becomes the owner: it has had its time of the half share.
-            Some(Right::StandIn { since, .. }) if mine => {
-                self.rights.insert(group, Right::Owner { since });
+        only_vm: bool,
+    ) -> Vec<Effect> {
+        let owned_here = owner == Some(me);
+        match self.roles.get(&group).copied() {
+            Some(Role::Owner { .. }) if owned_here => Vec::new(),
+            // The stand-in becomes the owner: its takeover, if not over, just continues.
+            Some(Role::StandIn { takeover_since, .. }) if owned_here => {
+                self.roles.insert(group, Role::Owner { takeover_since });
                 Vec::new()
             }
-            _ if mine => {
-                // Two views of membership may name two owners for a while, and both would fill all
-                // slots and connections. Each uses half until the views must have met.
-                let since = (!sole).then_some(now);
-                self.rights.insert(group, Right::Owner { since });
-                let share = if sole { 1.0 } else { HALF };
-                vec![Step::Take, Step::Share(share)]
+            _ if owned_here => {
+                // While views of membership differ, two VMs may both be owners, and both would fill all
+                // slots and connections. Each uses half until the views have converged.
+                let takeover_since = (!only_vm).then_some(now);
+                self.roles.insert(group, Role::Owner { takeover_since });
+                let share = if only_vm { 1.0 } else { TAKEOVER_SLOT_SHARE };
+                vec![Effect::Serve, Effect::SetSlotShare(share)]
             }
-            Some(Right::Owner { .. }) => {
-                self.rights.insert(group, Right::Released);
-                vec![Step::HandOver(owner)]
+            Some(Role::Owner { .. }) => {
+                self.roles.insert(group, Role::Released);
+                vec![Effect::HandOver(owner)]
             }
             _ => Vec::new(),
         }
     }
 
-    /// Ends take-overs and stand-ins whose time is up; lists what was released.
-    pub(crate) fn tick(&mut self, now: Millis) -> Vec<(Group, Step)> {
-        let mut steps = Vec::new();
-        for (group, right) in &mut self.rights {
-            match right {
-                Right::Owner { since } if since.is_some_and(|s| now - s >= TAKE_OVER) => {
-                    *since = None;
-                    steps.push((*group, Step::Share(1.0)));
+    /// Ends takeovers and stand-ins whose time is over, and lists released groups for removal.
+    pub(crate) fn tick(&mut self, now: Millis) -> Vec<(Group, Effect)> {
+        let mut effects = Vec::new();
+        for (group, role) in &mut self.roles {
+            match role {
+                Role::Owner { takeover_since }
+                    if takeover_since.is_some_and(|s| now - s >= TAKEOVER_INTERVAL_MS) =>
+                {
+                    *takeover_since = None;
+                    effects.push((*group, Effect::SetSlotShare(1.0)));
                 }
-                Right::StandIn { asked, .. } if now - *asked >= STAND_IN => {
-                    *right = Right::Released;
-                    steps.push((*group, Step::HandOver(None)));
+                Role::StandIn { last_asked, .. } if now - *last_asked >= STAND_IN_RETENTION_MS => {
+                    *role = Role::Released;
+                    effects.push((*group, Effect::HandOver(None)));
                 }
-                Right::StandIn { since, .. } if since.is_some_and(|s| now - s >= TAKE_OVER) => {
-                    *since = None;
-                    steps.push((*group, Step::Share(1.0)));
+                Role::StandIn { takeover_since, .. }
+                    if takeover_since.is_some_and(|s| now - s >= TAKEOVER_INTERVAL_MS) =>
+                {
+                    *takeover_since = None;
+                    effects.push((*group, Effect::SetSlotShare(1.0)));
                 }
-                Right::Released => steps.push((*group, Step::Forget)),
-                Right::Owner { .. } | Right::StandIn { .. } => {}
+                Role::Released => effects.push((*group, Effect::Remove)),
+                Role::Owner { .. } | Role::StandIn { .. } => {}
             }
         }
-        steps
+        effects
     }
 
-    /// Begins the time of the half share anew for every group that is owned.
-    pub(crate) fn renew(&mut self, now: Millis) -> Vec<Group> {
-        let mut renewed = Vec::new();
-        for (group, right) in &mut self.rights {
-            if let Right::Owner { since } = right {
-                *since = Some(now);
-                renewed.push(*group);
+    /// Restarts the takeover at half share for every owned group.
+    pub(crate) fn restart_takeovers(&mut self, now: Millis) -> Vec<Group> {
+        let mut restarted = Vec::new();
+        for (group, role) in &mut self.roles {
+            if let Role::Owner { takeover_since } = role {
+                *takeover_since = Some(now);
+                restarted.push(*group);
             }
         }
-        renewed
+        restarted
     }
 
-    pub(crate) fn forget(&mut self, group: Group) {
-        self.rights.remove(&group);
+    pub(crate) fn remove(&mut self, group: Group) {
+        self.roles.remove(&group);
     }
 }
--- a/crates/tgw-node/src/lib.rs
+++ b/crates/tgw-node/src/lib.rs
@@ -1,24 +1,24 @@
-//! The whole decision core of one VM: its entry, the groups it dispatches to, and the moves of
+//! The decision core of one VM: query fan-out, dispatch to the replica groups it owns, and changes of
 //! ownership between VMs. The same core runs in `serve`, in replays, in experiments and in tests.
 //!
 //! Performs no I/O: inputs and the time go in, outputs come out.
 
-/// Ownership of groups: taking, standing in, handing over.
+/// The core's inputs and outputs.
+mod event;
+/// The groups that this VM dispatches to: takeover, standing in, handover.
 mod groups;
-/// What VMs tell one another.
+/// Messages between the cores of two VMs.
 pub mod message;
 /// The core.
 mod node;
-/// Orders on their way through the core.
-mod ordering;
-/// Orders: taken in, claimed by a clerk, run by an owner.
+/// The core's part in orders: admission, effects, choice of a group.
+mod order_requests;
+/// The state of one VM's orders: accepted, claimed, sent to an owner.
 mod orders;
-/// Moves of groups between VMs: catalog, directory, leaving upstreams.
-mod placing;
-/// What the core is told and what it does.
-mod step;
+/// Changes of ownership: catalog, directory, leaving upstreams.
+mod ownership;
 
+pub use event::{Identity, Input, Intake, Note, Options, Output, Placement, Tap};
 pub use message::Message;
 pub use node::Node;
-pub use step::{Identity, Input, Intake, Note, Options, Output, Placement, Tap};
 pub use tgw_dispatch::leaf::Outcome as LeafOutcome;
--- a/crates/tgw-node/src/message.rs
+++ b/crates/tgw-node/src/message.rs
@@ -1,4 +1,4 @@
-//! What VMs tell one another over their links.
+//! Messages between the cores of two VMs.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -11,19 +11,19 @@
 pub enum Message {
     /// Dispatch a leaf request.
     Ask(Ask),
-    /// A leaf request's outcome is no longer wanted.
+    /// Cancel a leaf request.
     Cancel(Key),
-    /// What came of a leaf request.
+    /// The outcome of a leaf request.
     Outcome(Told),
-    /// The VM lives and works on what it was asked.
+    /// Heartbeat of a VM that works on requests of the receiver.
     Alive,
-    /// Asks a VM that has been silent whether it lives.
+    /// Asks an unresponsive VM for a heartbeat.
     Probe,
-    /// An order for the clerk of its key.
+    /// An order, to the VM that claims orders of its key's bucket.
     Order(Order),
-    /// What came of an order.
+    /// The outcome of an order, by its number.
     Ordered(u64, tgw_order::Outcome),
-    /// An upstream leaves: no new work for it from anyone.
+    /// An upstream leaves: no VM may send it new requests.
     Leaving(Upstream),
 }
 
@@ -32,60 +32,63 @@
 pub struct Ask {
     /// The replica group.
     pub group: Group,
-    /// The VM is asked in the owner's place.
+    /// The receiver stands in for the group's owner.
     pub stand_in: bool,
     /// The request.
     pub key: Key,
-    /// The snapshot to be searched.
+    /// The snapshot to search.
     pub snapshot: Snapshot,
-    /// Time left; clocks of two VMs are not compared.
+    /// Time until the deadline; a duration, as the clocks of two VMs differ.
     pub left: Millis,
-    /// Time after which it is given back if it still waits.
+    /// Time after which the request is returned if it is still queued.
     pub patience: Option<Millis>,
-    /// What is searched for.
+    /// The body of the search.
     #[serde(with = "tgw_topology::text")]
     pub body: Bytes,
-    /// Whether decisions about it are logged.
+    /// Whether decisions about the request are logged.
     pub traced: bool,
-    /// What the upstream does for it.
+    /// The operation at the upstream.
     pub work: Work,
 }
 
-/// An order for the clerk of its key.
+/// An order, to the VM that claims orders of its key's bucket.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Order {
-    /// Names the request at the VM that took it in.
+    /// Identifies the request at the VM that received it from the caller.
     pub number: u64,
     /// The caller's key.
     pub key: tgw_order::Key,
-    /// Seconds since the key was made, as far as the clocks go; `None` if it is from the future.
-    pub age_s: Option<u64>,
-    /// Time left.
-    pub left: Millis,
-    /// What is ordered.
+    /// Seconds since the key was made, by the clocks of caller and VM; `None` if the key's time is in the
+    /// future.
+    #[serde(rename = "age_s")]
+    pub key_age_s: Option<u64>,
+    /// Time until the deadline.
+    #[serde(rename = "left")]
+    pub remaining: Millis,
+    /// The body of the order.
     #[serde(with = "tgw_topology::text")]
     pub body: Bytes,
 }
 
-/// What came of a leaf request.
+/// The outcome of a leaf request, with the state of its group.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Told {
     /// The request.
     pub key: Key,
-    /// What came of it.
+    /// Its outcome.
     pub outcome: Outcome,
-    /// The snapshots held in its group, if known.
+    /// The snapshots that the group's upstreams hold, if known.
     pub stock: Option<Stock>,
-    /// Sendings beyond the first.
+    /// Sends to upstreams beyond the first.
     pub extra: u8,
     /// Time in the queue.
     pub waited: Millis,
-    /// Requests that wait or run in the group, as a part of its slots.
+    /// Queued and running requests of the group, as a ratio of its slots.
     pub pressure: f32,
 }
 
 impl Told {
-    /// An outcome that no queue was involved in.
+    /// An outcome of a request that was never queued.
     pub fn bare(key: Key, outcome: Outcome) -> Self {
         Self { key, outcome, stock: None, extra: 0, waited: Millis::ZERO, pressure: 0.0 }
     }
--- a/crates/tgw-node/src/node.rs
+++ b/crates/tgw-node/src/node.rs
@@ -1,8 +1,8 @@
 use crate::{
+    event::{Input, Note, Options, Output, Tap},
     groups::Groups,
     message::{Ask, Message, Told},
-    orders::{ORDERS, Orders},
-    step::{Input, Note, Options, Output, Tap},
+    orders::{FIRST_ORDER_NUMBER, Orders},
 };
 use smallvec::SmallVec;
 use std::{
@@ -20,24 +20,24 @@
 use tgw_table::Document;
 use tgw_topology::{Catalog, Group, Place, Upstream, Vm, catalog::Index, place::Distance};
 
-/// How often rights to groups are looked over.
-const GROUPS: Millis = Millis::new(100);
-/// How often a VM that works for others says that it lives.
-const ALIVE: Millis = Millis::new(20);
-/// How often VMs that were silent are asked whether they live.
-const PROBE: Millis = Millis::new(100);
-/// How long a VM that starts waits to meet the others before it takes what nobody else owns.
-const JOIN: Millis = Millis::new(1000);
-/// How long an upstream that was told to be leaving stays so without being told again.
-const LEAVING: Millis = Millis::new(60_000);
+/// Interval of checks of the groups served here.
+const GROUP_CHECK_INTERVAL_MS: Millis = Millis::new(100);
+/// Interval of heartbeats to the VMs whose requests are worked on.
+const HEARTBEAT_INTERVAL_MS: Millis = Millis::new(20);
+/// Interval of probes to unresponsive VMs.
+const PROBE_INTERVAL_MS: Millis = Millis::new(100);
+/// How long a VM that starts waits to learn of another VM before it takes over groups without an owner.
+const JOIN_TIMEOUT_MS: Millis = Millis::new(1000);
+/// How long an upstream stays marked as leaving after the last report that it leaves.
+const LEAVING_RETENTION_MS: Millis = Millis::new(60_000);
 
-/// Owners as the entry asks for them.
-pub(crate) struct Seen<'a> {
+/// Owners of groups as the query fan-out looks them up.
+pub(crate) struct GroupOwners<'a> {
     pub(crate) map: &'a Map,
     pub(crate) index: &'a Index,
 }
 
-impl Owners for Seen<'_> {
+impl Owners for GroupOwners<'_> {
     fn owners(&self, group: Group) -> SmallVec<[Vm; 2]> {
         let place = self.index.get(group).map(|m| m.place);
         place.map(|place| self.map.owners(group, place)).unwrap_or_default()
@@ -62,21 +62,21 @@
     pub(crate) catalog: Arc<Catalog>,
     pub(crate) index: Index,
     pub(crate) table: Option<Arc<Document>>,
-    /// Upstreams known to leave, and since when, whatever else says that they are well.
+    /// Upstreams marked as leaving, and when; reports that they are healthy do not clear the mark.
     pub(crate) leaving: BTreeMap<Upstream, Millis>,
-    /// VMs whose requests are worked on.
+    /// VMs whose requests are being worked on.
     pub(crate) working_for: BTreeSet<Vm>,
-    pub(crate) looked_over: Millis,
-    pub(crate) said_alive: Millis,
-    pub(crate) probed: Millis,
+    pub(crate) groups_checked_at: Millis,
+    pub(crate) heartbeats_sent_at: Millis,
+    pub(crate) probes_sent_at: Millis,
     pub(crate) draining: bool,
-    /// Whether the VM has met another one, or has waited long enough to count itself alone.
+    /// Whether the VM has learned of another VM, or has waited long enough to assume there is none.
     pub(crate) joined: bool,
-    pub(crate) tap: Option<Box<dyn Tap>>,
+    pub(crate) observer: Option<Box<dyn Tap>>,
 }
 
 impl Node {
-    /// A core that knows nothing of the world yet.
+    /// A core without catalog, table or directory.
     pub fn new(options: Options) -> Self {
         Self {
             me: options.entry.vm,
@@ -93,21 +93,21 @@
             table: None,
             leaving: BTreeMap::new(),
             working_for: BTreeSet::new(),
-            looked_over: Millis::ZERO,
-            said_alive: Millis::ZERO,
-            probed: Millis::ZERO,
+            groups_checked_at: Millis::ZERO,
+            heartbeats_sent_at: Millis::ZERO,
+            probes_sent_at: Millis::ZERO,
             draining: false,
             joined: false,
-            tap: None,
+            observer: None,
         }
     }
 
-    /// Counts of the entry.
+    /// Counts of the query fan-out.
     pub fn stats(&self) -> &Stats {
         self.entry.stats()
     }
 
-    /// The entry, for its figures.
+    /// The query fan-out, for its statistics.
     pub fn entry(&self) -> &Entry {
         &self.entry
     }
@@ -127,94 +127,94 @@
         self.map.directory()
     }
 
-    /// Whether the VM has met another one, or has counted itself alone, so that ownership is settled.
+    /// Whether groups have owners, as the VM has learned of another VM or assumes that there is none.
     pub fn joined(&self) -> bool {
         self.joined
     }
 
-    /// The owner of a group as this VM sees it.
+    /// The owner of a group in this VM's view of membership.
     pub fn owner_of(&self, group: Group) -> Option<Vm> {
-        Seen { map: &self.map, index: &self.index }.owners(group).first().copied()
+        GroupOwners { map: &self.map, index: &self.index }.owners(group).first().copied()
     }
 
     /// The groups that this VM owns.
-    pub fn owned(&self) -> Vec<Group> {
+    pub fn owned_groups(&self) -> Vec<Group> {
         self.groups.owned().collect()
     }
 
-    /// Requests running on an upstream from here.
+    /// Requests in flight from this VM to an upstream.
     pub fn running(&self, upstream: Upstream) -> usize {
         self.owner.running(upstream)
     }
 
-    /// What the owner believes of an upstream, if this VM dispatches to it.
+    /// The health estimate of an upstream, if this VM dispatches to it.
     pub fn belief(&self, now: Millis, upstream: Upstream) -> Option<(Rank, Option<&Held>, f64)> {
         self.owner.belief(now, upstream)
     }
 
-    /// Whether an upstream is known to leave.
+    /// Whether an upstream is marked as leaving.
     pub fn is_leaving(&self, upstream: Upstream) -> bool {
         self.leaving.contains_key(&upstream)
     }
 
-    /// Counts of the clerk.
-    pub fn clerk_stats(&self) -> &tgw_order::Stats {
+    /// Counts of orders claimed here.
+    pub fn order_stats(&self) -> &tgw_order::Stats {
         self.orders.stats()
     }
 
-    /// Whether nothing is left to finish.
+    /// Whether no query, leaf request or order is pending.
     pub fn idle(&self) -> bool {
         self.entry.pending() == 0 && self.owner.pending() == 0 && self.orders.pending() == 0
     }
 
-    /// Listens to all that goes in and comes out from now on.
+    /// Passes all further inputs and outputs to an observer.
     pub fn tap(&mut self, tap: Box<dyn Tap>) {
-        self.tap = Some(tap);
+        self.observer = Some(tap);
     }
 
-    /// Handles one input at `now` and appends what must be done.
+    /// Handles one input at `now` and appends the outputs.
     pub fn on(&mut self, now: Millis, input: Input, out: &mut Vec<Output>) {
         let from = out.len();
-        if let Some(tap) = &mut self.tap {
-            tap.input(now, &input);
+        if let Some(observer) = &mut self.observer {
+            observer.input(now, &input);
         }
-        self.handle(now, input, out);
-        if let Some(tap) = &mut self.tap {
-            tap.outputs(&out[from..]);
+        self.handle_input(now, input, out);
+        if let Some(observer) = &mut self.observer {
+            observer.outputs(&out[from..]);
         }
     }
 
-    pub(crate) fn handle(&mut self, now: Millis, input: Input, out: &mut Vec<Output>) {
+    pub(crate) fn handle_input(&mut self, now: Millis, input: Input, out: &mut Vec<Output>) {
         match input {
             Input::Submit { token, service, within, body } => {
-                self.at_entry(now, Event::Submit { token, service, within, body }, out);
+                self.handle_entry_event(now, Event::Submit { token, service, within, body }, out);
             }
-            Input::Abandon(token) => self.at_entry(now, Event::Abandon(token), out),
-            Input::Peer(from, message) => self.peer(now, from, message, out),
-            Input::Lost(vm) => self.lost(now, vm, out),
+            Input::Abandon(token) => self.handle_entry_event(now, Event::Abandon(token), out),
+            Input::Peer(from, message) => self.handle_message(now, from, message, out),
+            Input::Lost(vm) => self.handle_vm_lost(now, vm, out),
             Input::Done { ticket, result, held } => {
-                self.at_owner(now, owner::Event::Done { ticket, result, held }, out);
+                self.handle_owner_event(now, owner::Event::Done { ticket, result, held }, out);
             }
-            Input::Leaving(upstream) => self.upstream_leaves(now, upstream, true, out),
+            Input::Leaving(upstream) => self.mark_leaving(now, upstream, true, out),
             Input::Restarted(upstream) => {
                 self.leaving.remove(&upstream);
-                self.at_owner(now, owner::Event::Restarted(upstream), out);
+                self.handle_owner_event(now, owner::Event::Restarted(upstream), out);
             }
             Input::Held(upstream, held) => {
-                self.at_owner(now, owner::Event::Held(upstream, held), out);
+                self.handle_owner_event(now, owner::Event::Held(upstream, held), out);
             }
-            Input::Order(intake) => self.order(now, intake, out),
+            Input::Order(incoming) => self.submit_order(now, incoming, out),
             Input::Store(event) => {
-                let steps = self.orders.clerk(now, event);
-                self.order_steps(now, steps, out);
+                let effects = self.orders.run_worker(now, event);
+                self.apply_order_effects(now, effects, out);
             }
             Input::Catalog(catalog) => self.set_catalog(now, catalog, out),
             Input::Table(table) => {
                 self.table = Some(table);
-                self.describe();
+                self.update_served_groups();
             }
             Input::Directory(directory) => self.set_directory(now, directory, out),
-            Input::Paused => self.resume(now, out),
+            Input::Paused => self.handle_pause(now, out),
             Input::Drain => {
                 self.draining = true;
                 self.entry.drain();
@@ -223,45 +223,57 @@
         }
     }
 
-    pub(crate) fn peer(&mut self, now: Millis, from: Vm, message: Message, out: &mut Vec<Output>) {
+    pub(crate) fn handle_message(
+        &mut self,
+        now: Millis,
+        from: Vm,
+        message: Message,
+        out: &mut Vec<Output>,
+    ) {
         match message {
-            Message::Ask(ask) => self.asked(now, from, ask, out),
-            Message::Cancel(key) => self.at_owner(now, owner::Event::Cancel(key), out),
-            Message::Outcome(told) if told.key.query.number >= ORDERS => {
-                let steps = self.orders.outcome(now, &told);
-                self.order_steps(now, steps, out);
+            Message::Ask(ask) => self.handle_request(now, from, ask, out),
+            Message::Cancel(key) => self.handle_owner_event(now, owner::Event::Cancel(key), out),
+            Message::Outcome(completion) if completion.key.query.number >= FIRST_ORDER_NUMBER => {
+                let effects = self.orders.handle_outcome(now, &completion);
+                self.apply_order_effects(now, effects, out);
             }
             Message::Order(order) => {
-                let steps = self.orders.asked(now, from, order);
-                self.order_steps(now, steps, out);
+                let effects = self.orders.handle_forwarded(now, from, order);
+                self.apply_order_effects(now, effects, out);
             }
             Message::Ordered(number, outcome) => {
-                if let Some(token) = self.orders.told(number) {
+                if let Some(token) = self.orders.remove_accepted(number) {
                     out.push(Output::Ordered(token, outcome));
                 }
             }
             Message::Outcome(Told { key, outcome, stock, extra, waited, pressure }) => {
                 let event = Event::Outcome { from, key, outcome, stock, extra, waited, pressure };
-                self.at_entry(now, event, out);
+                self.handle_entry_event(now, event, out);
             }
             Message::Probe => out.push(Output::Tell(from, Message::Alive)),
-            Message::Alive => self.at_entry(now, Event::Heard(from), out),
-            Message::Leaving(upstream) => self.upstream_leaves(now, upstream, false, out),
+            Message::Alive => self.handle_entry_event(now, Event::Heard(from), out),
+            Message::Leaving(upstream) => self.mark_leaving(now, upstream, false, out),
         }
     }
 
-    pub(crate) fn asked(&mut self, now: Millis, from: Vm, ask: Ask, out: &mut Vec<Output>) {
+    pub(crate) fn handle_request(
+        &mut self,
+        now: Millis,
+        from: Vm,
+        ask: Ask,
+        out: &mut Vec<Output>,
+    ) {
         if from != self.me {
             self.working_for.insert(from);
         }
         let Ask { group, stand_in, key, snapshot, left, patience, body, traced, work } = ask;
         if stand_in {
-            let steps = self.groups.stand_in(now, group);
-            self.carry_out(now, group, steps, "stands in: the owner is silent", out);
+            let effects = self.groups.stand_in(now, group);
+            self.apply_group_effects(now, group, effects, "stands in: the owner is silent", out);
         }
         if !self.groups.serves(group) {
             let outcome = Outcome::Moved(self.owner_of(group).filter(|vm| *vm != self.me));
-            return self.tell(now, from, Message::Outcome(Told::bare(key, outcome)), out);
+            return self.send_message(now, from, Message::Outcome(Told::bare(key, outcome)), out);
         }
         let replicas = match &work {
             Work::Search => self.catalog.replicas(group.service, snapshot.layout, key.shard).into(),
@@ -269,24 +281,24 @@
         };
         let give_back = patience.map(|p| now + p);
         let leaf = Leaf { key, snapshot, deadline: now + left, give_back, body, traced, work };
-        self.at_owner(now, owner::Event::Ask { group, replicas, leaf }, out);
+        self.handle_owner_event(now, owner::Event::Ask { group, replicas, leaf }, out);
     }
 
-    /// Works with the entry and what it reads.
+    /// Calls `work` with the query fan-out and the view it decides on.
     pub(crate) fn with_view<T>(&mut self, work: impl FnOnce(&mut Entry, &View<'_>) -> T) -> T {
-        let seen = Seen { map: &self.map, index: &self.index };
+        let owners = GroupOwners { map: &self.map, index: &self.index };
         let view = View {
             catalog: &self.catalog,
             index: &self.index,
             table: self.table.as_deref(),
-            owners: &seen,
+            owners: &owners,
             here: self.place,
             distance: self.distance,
         };
         work(&mut self.entry, &view)
     }
 
-    pub(crate) fn at_entry(&mut self, now: Millis, event: Event, out: &mut Vec<Output>) {
+    pub(crate) fn handle_entry_event(&mut self, now: Millis, event: Event, out: &mut Vec<Output>) {
         let mut actions = Vec::new();
         self.with_view(|entry, view| entry.on(now, event, view, &mut actions));
         for action in actions {
@@ -297,9 +309,9 @@
                     let patience = give_back.map(|at| at - now);
                     let ask =
                         Ask { group, stand_in, key, snapshot, left, patience, body, traced, work };
-                    self.tell(now, to, Message::Ask(ask), out);
+                    self.send_message(now, to, Message::Ask(ask), out);
                 }
-                Action::Cancel { to, key } => self.tell(now, to, Message::Cancel(key), out),
+                Action::Cancel { to, key } => self.send_message(now, to, Message::Cancel(key), out),
                 Action::Answer { token, answer } => out.push(Output::Answer(token, answer)),
                 Action::Refuse { token, refusal } => out.push(Output::Refuse(token, refusal)),
                 Action::Note(note) => out.push(Output::Note(Note::Entry(note))),
@@ -307,7 +319,12 @@
         }
     }
 
-    pub(crate) fn at_owner(&mut self, now: Millis, event: owner::Event, out: &mut Vec<Output>) {
+    pub(crate) fn handle_owner_event(
+        &mut self,
+        now: Millis,
+        event: owner::Event,
+        out: &mut Vec<Output>,
+    ) {
         let mut actions = Vec::new();
         self.owner.on(now, event, &mut actions);
         for action in actions {
@@ -319,12 +336,12 @@
                     out.push(Output::Abort { ticket, upstream });
                 }
                 owner::Action::Answer { key, outcome, stock, extra, waited, pressure } => {
-                    let told = Told { key, outcome, stock, extra, waited, pressure };
-                    self.tell(now, key.from, Message::Outcome(told), out);
+                    let completion = Told { key, outcome, stock, extra, waited, pressure };
+                    self.send_message(now, key.from, Message::Outcome(completion), out);
                 }
                 owner::Action::Note(note) => {
                     if note.what == owner::What::Leaving {
-                        self.upstream_leaves(now, note.upstream, true, out);
+                        self.mark_leaving(now, note.upstream, true, out);
                     }
                     out.push(Output::Note(Note::Dispatch(note)));
                 }
@@ -332,40 +349,46 @@
         }
     }
 
-    /// Sends a message; one to this VM itself is handled at once.
-    pub(crate) fn tell(&mut self, now: Millis, to: Vm, message: Message, out: &mut Vec<Output>) {
+    /// Sends a message; a message to this VM itself is handled directly.
+    pub(crate) fn send_message(
+        &mut self,
+        now: Millis,
+        to: Vm,
+        message: Message,
+        out: &mut Vec<Output>,
+    ) {
         if to == self.me {
-            self.peer(now, to, message, out);
+            self.handle_message(now, to, message, out);
         } else {
             out.push(Output::Tell(to, message));
         }
     }
 
-    pub(crate) fn lost(&mut self, now: Millis, vm: Vm, out: &mut Vec<Output>) {
+    pub(crate) fn handle_vm_lost(&mut self, now: Millis, vm: Vm, out: &mut Vec<Output>) {
         self.working_for.remove(&vm);
-        self.at_entry(now, Event::Lost(vm), out);
-        let steps = self.orders.lost(now, vm);
-        self.order_steps(now, steps, out);
+        self.handle_entry_event(now, Event::Lost(vm), out);
+        let effects = self.orders.handle_vm_lost(now, vm);
+        self.apply_order_effects(now, effects, out);
     }
 
     pub(crate) fn tick(&mut self, now: Millis, out: &mut Vec<Output>) {
-        self.at_entry(now, Event::Tick, out);
-        self.at_owner(now, owner::Event::Tick, out);
-        let steps = self.orders.tick(now, &self.map);
-        self.order_steps(now, steps, out);
-        if now - self.looked_over >= GROUPS {
-            self.looked_over = now;
-            if !self.joined && now >= JOIN {
+        self.handle_entry_event(now, Event::Tick, out);
+        self.handle_owner_event(now, owner::Event::Tick, out);
+        let effects = self.orders.tick(now, &self.map);
+        self.apply_order_effects(now, effects, out);
+        if now - self.groups_checked_at >= GROUP_CHECK_INTERVAL_MS {
+            self.groups_checked_at = now;
+            if !self.joined && now >= JOIN_TIMEOUT_MS {
                 self.joined = true;
-                self.settle_all(now, "no other VM was met", out);
+                self.reconcile_groups(now, "no other VM was met", out);
             }
-            self.leaving.retain(|_, since| now - *since < LEAVING);
-            for (group, step) in self.groups.tick(now) {
-                self.carry_out(now, group, vec![step], "time is up", out);
+            self.leaving.retain(|_, since| now - *since < LEAVING_RETENTION_MS);
+            for (group, effect) in self.groups.tick(now) {
+                self.apply_group_effects(now, group, vec![effect], "time is up", out);
             }
         }
-        if now - self.said_alive >= ALIVE {
-            self.said_alive = now;
+        if now - self.heartbeats_sent_at >= HEARTBEAT_INTERVAL_MS {
+            self.heartbeats_sent_at = now;
             if self.owner.pending() == 0 {
                 self.working_for.clear();
             }
@@ -373,8 +396,8 @@
                 out.push(Output::Tell(*vm, Message::Alive));
             }
         }
-        if now - self.probed >= PROBE {
-            self.probed = now;
+        if now - self.probes_sent_at >= PROBE_INTERVAL_MS {
+            self.probes_sent_at = now;
             for vm in self.entry.silent() {
                 out.push(Output::Tell(vm, Message::Probe));
             }
--- a/crates/tgw-node/src/orders.rs
+++ b/crates/tgw-node/src/orders.rs
@@ -4,53 +4,57 @@
 use std::collections::BTreeMap;
 use tgw_clock::Millis;
 use tgw_dispatch::leaf::{Failure, Key as LeafKey, Outcome as LeafOutcome, Work};
-use tgw_order::{Action, Clerk, Event, Key, Outcome, Ran, Stats, Waiter, key::BUCKETS};
+use tgw_order::{
+    Action, Event, Key, Outcome, RunOutcome, Stats, Waiter, Worker, key::BUCKET_COUNT,
+};
 use tgw_owner::Map;
 use tgw_query::step::Token;
 use tgw_topology::{Group, Layout, Query, Shard, Snapshot, Vm};
 
-/// Query numbers from here on name orders, so that their outcomes find the clerk.
-pub(crate) const ORDERS: u64 = 1 << 62;
-/// Time past its deadline that an owner has to tell what came of an order.
-const GRACE: Millis = Millis::new(500);
-/// A clerk counts as having had a bucket since before a key was made only with this much to spare:
-/// clocks differ, and views of membership meet with a delay.
-const MARGIN: Millis = Millis::new(3000);
-/// Owners that are asked in turn while each states that it did not run the order.
-const TRIES: usize = 4;
+/// Query numbers from here on belong to orders, which separates their outcomes from those
+/// of searches.
+pub(crate) const FIRST_ORDER_NUMBER: u64 = 1 << 62;
+/// Time after an order's deadline in which its outcome may still arrive.
+const OUTCOME_GRACE_MS: Millis = Millis::new(500);
+/// Margin by which this VM must have owned a bucket before a key was made to be sure that no other VM
+/// received the key: clocks differ, and views of membership converge with a delay.
+const OWNERSHIP_MARGIN_MS: Millis = Millis::new(3000);
+/// Most groups that an order is sent to in turn while each owner states that it did not run it.
+const MAX_GROUPS_TRIED: usize = 4;
 
-/// An order as a caller's VM takes it in.
-pub(crate) struct Taken {
+/// An order as received from a caller.
+pub(crate) struct NewOrder {
     pub(crate) token: Token,
     pub(crate) key: Key,
-    pub(crate) age_s: Option<u64>,
+    pub(crate) key_age_s: Option<u64>,
     pub(crate) deadline: Millis,
     pub(crate) body: Bytes,
 }
 
-/// A claimed order on its way to an owner.
+/// A claimed order that is to be sent to the owner of a group.
 pub(crate) struct Run {
     pub(crate) key: Key,
     pub(crate) deadline: Millis,
-    /// Groups that did not take it.
+    /// Groups that did not run it.
     pub(crate) tried: SmallVec<[Group; 4]>,
 }
 
-/// What must be done.
-pub(crate) enum Step {
-    Tell(Vm, Message),
+/// What the core must do.
+pub(crate) enum Effect {
+    Send(Vm, Message),
     Answer(Token, Outcome),
     Store(Action),
     Run(Run),
 }
 
-/// An order that this VM took in and whose outcome it waits for.
-struct Entered {
-    order: Taken,
-    clerk: Option<Vm>,
+/// An order received from a caller, whose outcome is awaited.
+struct Accepted {
+    order: NewOrder,
+    /// The VM that the order was forwarded to; `None` if it must be forwarded again.
+    claims_owner: Option<Vm>,
 }
 
-/// An order that was sent to an owner.
+/// An order that was sent to the owner of a group.
 struct Sent {
     key: Key,
     to: Vm,
@@ -58,18 +62,18 @@
     tried: SmallVec<[Group; 4]>,
 }
 
-/// The orders of one VM: those it took in, those it is the clerk of, and those it has sent.
+/// The orders of one VM: those received from callers, those it claims, and those sent to owners.
 pub(crate) struct Orders {
     me: Vm,
     incarnation: u64,
-    clerk: Clerk,
-    entered: BTreeMap<u64, Entered>,
+    worker: Worker,
+    accepted: BTreeMap<u64, Accepted>,
     waiters: BTreeMap<Waiter, (Vm, u64)>,
     bodies: BTreeMap<Key, Bytes>,
     sent: BTreeMap<u64, Sent>,
-    /// Since when this VM has been the clerk of each bucket without a break.
-    since: BTreeMap<u64, Millis>,
-    next: u64,
+    /// Start of this VM's uninterrupted ownership of each bucket.
+    bucket_owned_since: BTreeMap<u64, Millis>,
+    last_number: u64,
 }
 
 impl Orders {
@@ -77,91 +81,102 @@
         Self {
             me,
             incarnation,
-            clerk: Clerk::new(me.0.wrapping_mul(31).wrapping_add(incarnation)),
-            entered: BTreeMap::new(),
+            worker: Worker::new(me.0.wrapping_mul(31).wrapping_add(incarnation)),
+            accepted: BTreeMap::new(),
             waiters: BTreeMap::new(),
             bodies: BTreeMap::new(),
             sent: BTreeMap::new(),
-            since: BTreeMap::new(),
-            next: ORDERS,
+            bucket_owned_since: BTreeMap::new(),
+            last_number: FIRST_ORDER_NUMBER,
         }
     }
 
     pub(crate) fn stats(&self) -> &Stats {
-        self.clerk.stats()
+        self.worker.stats()
     }
 
     pub(crate) fn pending(&self) -> usize {
-        self.entered.len() + self.clerk.pending() + self.sent.len()
+        self.accepted.len() + self.worker.pending() + self.sent.len()
     }
 
-    /// Takes in a caller's order and passes it to the clerk of its key.
-    pub(crate) fn take(&mut self, now: Millis, order: Taken, map: &Map) -> Vec<Step> {
-        self.next += 1;
-        let number = self.next;
-        self.entered.insert(number, Entered { order, clerk: None });
-        self.pass_on(now, number, map)
+    /// Accepts a caller's order and forwards it to the owner of its bucket.
+    pub(crate) fn accept(&mut self, now: Millis, order: NewOrder, map: &Map) -> Vec<Effect> {
+        self.last_number += 1;
+        let number = self.last_number;
+        self.accepted.insert(number, Accepted { order, claims_owner: None });
+        self.forward(now, number, map)
     }
 
-    /// Passes an order to its clerk. Asking a second clerk is safe: the store tells the two apart.
-    fn pass_on(&mut self, now: Millis, number: u64, map: &Map) -> Vec<Step> {
-        let Some(entered) = self.entered.get_mut(&number) else { return Vec::new() };
-        let clerk = map.clerk(entered.order.key.bucket()).unwrap_or(self.me);
-        entered.clerk = Some(clerk);
-        let Taken { key, age_s, deadline, body, .. } = &entered.order;
-        let left = *deadline - now;
-        let order = Order { number, key: *key, age_s: *age_s, left, body: body.clone() };
-        vec![Step::Tell(clerk, Message::Order(order))]
+    /// Forwards an order to the owner of its bucket. Forwarding it to a second VM is safe, as the store
+    /// accepts only one claim.
+    fn forward(&mut self, now: Millis, number: u64, map: &Map) -> Vec<Effect> {
+        let Some(accepted) = self.accepted.get_mut(&number) else { return Vec::new() };
+        let owner = map.clerk(accepted.order.key.bucket()).unwrap_or(self.me);
+        accepted.claims_owner = Some(owner);
+        let NewOrder { key, key_age_s, deadline, body, .. } = &accepted.order;
+        let remaining = *deadline - now;
+        let order =
+            Order { number, key: *key, key_age_s: *key_age_s, remaining, body: body.clone() };
+        vec![Effect::Send(owner, Message::Order(order))]
     }
 
-    /// The clerk is asked for an order by the VM that took it in.
-    pub(crate) fn asked(&mut self, now: Millis, from: Vm, order: Order) -> Vec<Step> {
-        let Order { number, key, age_s, left, body } = order;
-        let waiter = self.next + 1;
-        self.next = waiter;
+    /// Handles a forwarded order at the VM that claims it.
+    pub(crate) fn handle_forwarded(&mut self, now: Millis, from: Vm, order: Order) -> Vec<Effect> {
+        let Order { number, key, key_age_s, remaining, body } = order;
+        let waiter = self.last_number + 1;
+        self.last_number = waiter;
         self.waiters.insert(waiter, (from, number));
         self.bodies.entry(key).or_insert(body);
-        let fresh = age_s.is_some_and(|age| {
-            let since = self.since.get(&key.bucket());
-            since
-                .is_some_and(|since| now - *since >= Millis::new(age.saturating_mul(1000)) + MARGIN)
+        let no_earlier_request = key_age_s.is_some_and(|age| {
+            let since = self.bucket_owned_since.get(&key.bucket());
+            since.is_some_and(|since| {
+                now - *since >= Millis::new(age.saturating_mul(1000)) + OWNERSHIP_MARGIN_MS
+            })
         });
-        self.clerk(now, Event::Ask { key, waiter, deadline: now + left, fresh })
+        self.run_worker(
+            now,
+            Event::Request { key, waiter, deadline: now + remaining, no_earlier_request },
+        )
     }
 
-    /// Runs the clerk on one event.
-    pub(crate) fn clerk(&mut self, now: Millis, event: Event) -> Vec<Step> {
+    /// Passes one event to the claims worker and converts its actions.
+    pub(crate) fn run_worker(&mut self, now: Millis, event: Event) -> Vec<Effect> {
         let mut actions = Vec::new();
-        self.clerk.on(now, event, &mut actions);
-        let mut steps = Vec::new();
+        self.worker.handle(now, event, &mut actions);
+        let mut effects = Vec::new();
         for action in actions {
             match action {
                 Action::Run(key, deadline) => {
-                    steps.push(Step::Run(Run { key, deadline, tried: SmallVec::new() }));
+                    effects.push(Effect::Run(Run { key, deadline, tried: SmallVec::new() }));
                 }
                 Action::Tell(waiter, outcome) => {
                     if let Some((vm, number)) = self.waiters.remove(&waiter) {
-                        steps.push(Step::Tell(vm, Message::Ordered(number, outcome)));
+                        effects.push(Effect::Send(vm, Message::Ordered(number, outcome)));
                     }
                 }
-                store => steps.push(Step::Store(store)),
+                store => effects.push(Effect::Store(store)),
             }
         }
-        steps
+        effects
     }
 
-    /// Sends a claimed order to the owner of a group, or ends it as not run if there is none left.
-    pub(crate) fn send(&mut self, now: Millis, run: Run, to: Option<(Group, Vm)>) -> Vec<Step> {
+    /// Sends a claimed order to the owner of a group, or ends it as not run if no group is left.
+    pub(crate) fn send_to_group(
+        &mut self,
+        now: Millis,
+        run: Run,
+        to: Option<(Group, Vm)>,
+    ) -> Vec<Effect> {
         let Run { key, deadline, mut tried } = run;
-        // The monotonic clock is read just before the order leaves: a VM that was paused between the
-        // claim and here must not send what its caller has given up.
-        let late = now >= deadline || tried.len() >= TRIES;
+        // A VM that was paused after the claim must not send an order whose caller has given up, so the
+        // deadline is checked against the monotonic clock just before the send.
+        let late = now >= deadline || tried.len() >= MAX_GROUPS_TRIED;
         let Some((group, vm)) = to.filter(|_| !late) else {
-            return self.clerk(now, Event::Ran(key, Ran::NotRun));
+            return self.run_worker(now, Event::RunDone(key, RunOutcome::NotRun));
         };
         tried.push(group);
-        self.next += 1;
-        let number = self.next;
+        self.last_number += 1;
+        let number = self.last_number;
         let query = Query { incarnation: self.incarnation, number };
         let ask = Ask {
             group,
@@ -175,17 +190,19 @@
             work: Work::Order(key.name()),
         };
         self.sent.insert(number, Sent { key, to: vm, deadline, tried });
-        vec![Step::Tell(vm, Message::Ask(ask))]
+        vec![Effect::Send(vm, Message::Ask(ask))]
     }
 
-    /// An owner tells what came of an order.
-    pub(crate) fn outcome(&mut self, now: Millis, told: &Told) -> Vec<Step> {
-        if told.key.query.incarnation != self.incarnation {
+    /// Handles the outcome of an order sent to an owner.
+    pub(crate) fn handle_outcome(&mut self, now: Millis, completion: &Told) -> Vec<Effect> {
+        if completion.key.query.incarnation != self.incarnation {
             return Vec::new();
         }
-        let Some(sent) = self.sent.remove(&told.key.query.number) else { return Vec::new() };
-        let ran = match &told.outcome {
-            LeafOutcome::Items(result) => Ran::Done(String::from_utf8_lossy(result).into_owned()),
+        let Some(sent) = self.sent.remove(&completion.key.query.number) else { return Vec::new() };
+        let ran = match &completion.outcome {
+            LeafOutcome::Items(result) => {
+                RunOutcome::Done(String::from_utf8_lossy(result).into_owned())
+            }
             LeafOutcome::Failed(Failure::Connect | Failure::NoUpstream)
             | LeafOutcome::Gone
             | LeafOutcome::Shed
@@ -193,76 +210,80 @@
             | LeafOutcome::Expired
             | LeafOutcome::Moved(_) => {
                 let Sent { key, deadline, tried, .. } = sent;
-                return vec![Step::Run(Run { key, deadline, tried })];
+                return vec![Effect::Run(Run { key, deadline, tried })];
             }
-            LeafOutcome::Failed(_) => Ran::Unknown,
+            LeafOutcome::Failed(_) => RunOutcome::Unknown,
         };
-        self.end(now, sent.key, ran)
+        self.end_run(now, sent.key, ran)
     }
 
-    fn end(&mut self, now: Millis, key: Key, ran: Ran) -> Vec<Step> {
+    fn end_run(&mut self, now: Millis, key: Key, ran: RunOutcome) -> Vec<Effect> {
         self.bodies.remove(&key);
-        self.clerk(now, Event::Ran(key, ran))
+        self.run_worker(now, Event::RunDone(key, ran))
     }
 
-    /// The clerk has told what came of an order that was taken in here.
-    pub(crate) fn told(&mut self, number: u64) -> Option<Token> {
-        self.entered.remove(&number).map(|e| e.order.token)
+    /// Removes an accepted order whose outcome has arrived and returns the caller's token.
+    pub(crate) fn remove_accepted(&mut self, number: u64) -> Option<Token> {
+        self.accepted.remove(&number).map(|e| e.order.token)
     }
 
-    /// A VM cannot be reached: what it was sent may have run; what it was to be the clerk of is
-    /// passed to another.
-    pub(crate) fn lost(&mut self, now: Millis, vm: Vm) -> Vec<Step> {
-        for entered in self.entered.values_mut().filter(|e| e.clerk == Some(vm)) {
-            entered.clerk = None;
+    /// Handles the loss of a VM: orders sent to it may have run, and orders forwarded to it are forwarded
+    /// again.
+    pub(crate) fn handle_vm_lost(&mut self, now: Millis, vm: Vm) -> Vec<Effect> {
+        for accepted in self.accepted.values_mut().filter(|e| e.claims_owner == Some(vm)) {
+            accepted.claims_owner = None;
         }
-        let gone: Vec<u64> = self.sent.iter().filter(|(_, s)| s.to == vm).map(|s| *s.0).collect();
-        let gone: Vec<Sent> = gone.iter().filter_map(|n| self.sent.remove(n)).collect();
-        gone.into_iter().flat_map(|sent| self.end(now, sent.key, Ran::Unknown)).collect()
+        let lost: Vec<u64> = self.sent.iter().filter(|(_, s)| s.to == vm).map(|s| *s.0).collect();
+        let lost: Vec<Sent> = lost.iter().filter_map(|n| self.sent.remove(n)).collect();
+        lost.into_iter().flat_map(|sent| self.end_run(now, sent.key, RunOutcome::Unknown)).collect()
     }
 
-    /// Membership has changed: which buckets are this VM's, and since when.
-    pub(crate) fn settle(&mut self, now: Millis, map: &Map) {
-        for bucket in 0..BUCKETS {
+    /// Updates which buckets this VM owns, and since when, after a change of membership.
+    pub(crate) fn update_buckets(&mut self, now: Millis, map: &Map) {
+        for bucket in 0..BUCKET_COUNT {
             if map.clerk(bucket) == Some(self.me) {
-                self.since.entry(bucket).or_insert(now);
+                self.bucket_owned_since.entry(bucket).or_insert(now);
             } else {
-                self.since.remove(&bucket);
+                self.bucket_owned_since.remove(&bucket);
             }
         }
     }
 
-    /// After a pause another VM may have been the clerk for a while.
-    pub(crate) fn resume(&mut self, now: Millis) {
-        self.since.values_mut().for_each(|since| *since = now);
+    /// Restarts the ownership of all buckets: during a pause another VM may have owned them.
+    pub(crate) fn restart_ownership(&mut self, now: Millis) {
+        self.bucket_owned_since.values_mut().for_each(|since| *since = now);
     }
 
-    pub(crate) fn tick(&mut self, now: Millis, map: &Map) -> Vec<Step> {
-        let mut steps = self.clerk(now, Event::Tick);
-        let late: Vec<u64> =
-            self.sent.iter().filter(|(_, s)| s.deadline + GRACE <= now).map(|s| *s.0).collect();
+    pub(crate) fn tick(&mut self, now: Millis, map: &Map) -> Vec<Effect> {
+        let mut effects = self.run_worker(now, Event::Tick);
+        let late: Vec<u64> = self
+            .sent
+            .iter()
+            .filter(|(_, s)| s.deadline + OUTCOME_GRACE_MS <= now)
+            .map(|s| *s.0)
+            .collect();
         for number in late {
             if let Some(sent) = self.sent.remove(&number) {
-                steps.extend(self.end(now, sent.key, Ran::Unknown));
+                effects.extend(self.end_run(now, sent.key, RunOutcome::Unknown));
             }
         }
-        let waiting: Vec<(u64, bool)> = self
-            .entered
+        let due: Vec<(u64, bool)> = self
+            .accepted
             .iter()
-            .filter(|(_, e)| e.clerk.is_none() || e.order.deadline + GRACE <= now)
-            .map(|(number, e)| (*number, e.order.deadline + GRACE <= now))
+            .filter(|(_, e)| e.claims_owner.is_none() || e.order.deadline + OUTCOME_GRACE_MS <= now)
+            .map(|(number, e)| (*number, e.order.deadline + OUTCOME_GRACE_MS <= now))
             .collect();
-        for (number, over) in waiting {
-            if !over {
-                steps.extend(self.pass_on(now, number, map));
-            } else if let Some(entered) = self.entered.remove(&number) {
-                // The clerk is silent: it may have run the order.
-                steps.push(Step::Answer(entered.order.token, Outcome::Unknown));
+        for (number, timed_out) in due {
+            if !timed_out {
+                effects.extend(self.forward(now, number, map));
+            } else if let Some(accepted) = self.accepted.remove(&number) {
+                // No outcome arrived from the VM that claims the order: the order may have run.
+                effects.push(Effect::Answer(accepted.order.token, Outcome::Unknown));
             }
         }
         if self.waiters.is_empty() && self.sent.is_empty() {
             self.bodies.clear();
         }
-        steps
+        effects
     }
 }
--- a/crates/tgw-node/src/placing.rs
+++ b/crates/tgw-node/src/ownership.rs
@@ -1,6 +1,6 @@
 use crate::{
     Message, Node, Note, Output, Placement,
-    groups::{HALF, Step},
+    groups::{Effect, TAKEOVER_SLOT_SHARE},
     message::Told,
 };
 use smallvec::SmallVec;
@@ -10,14 +10,15 @@
 use tgw_owner::{Directory, State};
 use tgw_topology::{
     Catalog, Group, Place, Upstream, Vm,
-    catalog::{Index, Node as Described},
+    catalog::{Index, Node as UpstreamEntry},
     place::Domain,
 };
 
 impl Node {
-    /// The first word that an upstream leaves wins and is passed on; any later word that it is well
-    /// does not count, as health and platform lag behind. Only a restart makes it well again.
-    pub(crate) fn upstream_leaves(
+    /// Marks an upstream as leaving on the first report that it leaves and passes the report on if it is
+    /// `first_hand`. Later reports that it is healthy are ignored, as health checks and the platform lag
+    /// behind. Only a restart clears the mark.
+    pub(crate) fn mark_leaving(
         &mut self,
         now: Millis,
         upstream: Upstream,
@@ -27,14 +28,14 @@
         if self.leaving.insert(upstream, now).is_some() {
             return;
         }
-        self.at_owner(now, owner::Event::Leaving(upstream), out);
+        self.handle_owner_event(now, owner::Event::Leaving(upstream), out);
         let domain = self.catalog.upstreams.get(&upstream).map(|u| u.place.domain);
         if !first_hand {
             return;
         }
-        // Only VMs that may own the upstream's group place work on it: those of its domain, and the
-        // owner and stand-in that replace them where the domain has no VM.
-        let mut told: BTreeSet<Vm> = self
+        // Only VMs that may own the upstream's group send it requests: those of its domain or, if the
+        // domain has no VM, the owner and stand-in chosen elsewhere.
+        let mut recipients: BTreeSet<Vm> = self
             .map
             .directory()
             .owners()
@@ -42,9 +43,9 @@
             .map(|o| o.0)
             .collect();
         if let Some(node) = self.catalog.upstreams.get(&upstream) {
-            told.extend(self.map.owners(node.group(), node.place));
+            recipients.extend(self.map.owners(node.group(), node.place));
         }
-        for vm in told.into_iter().filter(|vm| *vm != self.me) {
+        for vm in recipients.into_iter().filter(|vm| *vm != self.me) {
             out.push(Output::Tell(vm, Message::Leaving(upstream)));
         }
     }
@@ -61,10 +62,10 @@
         let leaving: Vec<Upstream> =
             self.catalog.upstreams.values().filter(|u| u.leaving).map(|u| u.id).collect();
         for upstream in leaving {
-            self.upstream_leaves(now, upstream, true, out);
+            self.mark_leaving(now, upstream, true, out);
         }
-        self.describe();
-        self.settle_all(now, "the catalog changed", out);
+        self.update_served_groups();
+        self.reconcile_groups(now, "the catalog changed", out);
     }
 
     pub(crate) fn set_directory(
@@ -80,18 +81,18 @@
         };
         self.joined |= directory.owners().any(|(vm, _)| vm != self.me);
         self.map.set(directory);
-        self.orders.settle(now, &self.map);
-        self.settle_all(now, "membership changed", out);
+        self.orders.update_buckets(now, &self.map);
+        self.reconcile_groups(now, "membership changed", out);
         for vm in gone {
-            // A leaving VM finishes what it was asked; a dead or unreachable one does not.
-            if vm != self.me && !self.finishes(vm) {
-                self.lost(now, vm, out);
+            // A leaving VM finishes the requests it received; a dead or unreachable one does not.
+            if vm != self.me && !self.still_finishes(vm) {
+                self.handle_vm_lost(now, vm, out);
             }
         }
     }
 
-    /// Whether a VM has said that it leaves and can still be reached.
-    pub(crate) fn finishes(&self, vm: Vm) -> bool {
+    /// Whether a VM is leaving and still reachable, so that it finishes its requests.
+    pub(crate) fn still_finishes(&self, vm: Vm) -> bool {
         let directory = self.map.directory();
         directory
             .members
@@ -99,60 +100,66 @@
             .is_some_and(|m| m.state == State::Leaving && !directory.cut.contains(&m.place.domain))
     }
 
-    /// After a pause the groups owned before may have new owners, who use all slots by now. What is
-    /// owned still is taken again with half of the slots, as by any new owner.
-    pub(crate) fn resume(&mut self, now: Millis, out: &mut Vec<Output>) {
-        self.orders.resume(now);
-        for group in self.groups.renew(now) {
-            self.owner.share(group, HALF);
-            self.placement(group, "resumed after a pause with half of the slots", out);
+    /// Handles the end of a pause. The groups owned before may have new owners, which use all slots by
+    /// now, so this VM uses half of the slots of its groups again, as any new owner does.
+    pub(crate) fn handle_pause(&mut self, now: Millis, out: &mut Vec<Output>) {
+        self.orders.restart_ownership(now);
+        for group in self.groups.restart_takeovers(now) {
+            self.owner.share(group, TAKEOVER_SLOT_SHARE);
+            self.log_placement(group, "resumed after a pause with half of the slots", out);
         }
     }
 
-    /// Compares every group's owner with the rights held here.
-    pub(crate) fn settle_all(&mut self, now: Millis, why: &'static str, out: &mut Vec<Output>) {
-        // A VM that starts knows only itself. If it took all groups at once, each start would open
+    /// Compares every group's owner with this VM's role for the group.
+    pub(crate) fn reconcile_groups(
+        &mut self,
+        now: Millis,
+        why: &'static str,
+        out: &mut Vec<Output>,
+    ) {
+        // A VM that starts knows no other VM. If it took over all groups at once, each start would open
         // connections to every upstream of the fleet and close them again a moment later.
         if !self.joined {
             return;
         }
         let places: Vec<(Group, Place)> = self.index.iter().map(|(g, m)| (g, m.place)).collect();
         let directory = self.map.directory();
-        let sole = directory.owners().count() <= 1;
-        let covered: BTreeSet<Domain> = directory.owners().map(|(_, m)| m.place.domain).collect();
-        // Ranking all VMs for all groups of the fleet at each change of membership anywhere would stop
-        // the thread for longer than a deadline. Only a VM of a group's own domain can own it, unless
-        // the domain has none.
-        let concerns = |group: Group| {
+        let only_vm = directory.owners().count() <= 1;
+        let domains_with_vms: BTreeSet<Domain> =
+            directory.owners().map(|(_, m)| m.place.domain).collect();
+        // Ranking all VMs for all groups of the fleet at each change of membership would block the thread
+        // for longer than a deadline. Only a VM of a group's own domain can own it, unless the domain
+        // has no VM.
+        let is_candidate = |group: Group| {
             group.domain == self.place.domain
-                || !covered.contains(&group.domain)
-                || self.groups.has(group)
+                || !domains_with_vms.contains(&group.domain)
+                || self.groups.contains(group)
         };
         let places: Vec<(Group, Place)> =
-            places.into_iter().filter(|(group, _)| concerns(*group)).collect();
+            places.into_iter().filter(|(group, _)| is_candidate(*group)).collect();
         for (group, place) in places {
             let owner = self.map.owners(group, place).first().copied();
-            let steps = self.groups.settle(now, group, owner, self.me, sole);
-            self.carry_out(now, group, steps, why, out);
+            let effects = self.groups.reconcile(now, group, owner, self.me, only_vm);
+            self.apply_group_effects(now, group, effects, why, out);
         }
     }
 
-    pub(crate) fn carry_out(
+    pub(crate) fn apply_group_effects(
         &mut self,
         now: Millis,
         group: Group,
-        steps: Vec<Step>,
+        effects: Vec<Effect>,
         why: &'static str,
         out: &mut Vec<Output>,
     ) {
-        for step in steps {
-            match step {
-                Step::Take => {
-                    self.take(now, group, out);
-                    self.placement(group, why, out);
+        for effect in effects {
+            match effect {
+                Effect::Serve => {
+                    self.serve_group(now, group, out);
+                    self.log_placement(group, why, out);
                 }
-                Step::Share(share) => self.owner.share(group, share),
-                Step::HandOver(to) => {
+                Effect::SetSlotShare(share) => self.owner.share(group, share),
+                Effect::HandOver(to) => {
                     let mut actions = Vec::new();
                     self.owner.hand_over(group, to, &mut actions);
                     for action in actions {
@@ -165,15 +172,15 @@
                             pressure,
                         } = action
                         {
-                            let told = Told { key, outcome, stock, extra, waited, pressure };
-                            self.tell(now, key.from, Message::Outcome(told), out);
+                            let completion = Told { key, outcome, stock, extra, waited, pressure };
+                            self.send_message(now, key.from, Message::Outcome(completion), out);
                         }
                     }
-                    self.placement(group, why, out);
+                    self.log_placement(group, why, out);
                 }
-                Step::Forget => {
+                Effect::Remove => {
                     if self.owner.forget(group) {
-                        self.groups.forget(group);
+                        self.groups.remove(group);
                         out.push(Output::Disconnect(self.upstreams(group)));
                     }
                 }
@@ -181,37 +188,37 @@
         }
     }
 
-    /// Hands a group's description and options to the dispatcher.
-    fn dispatch_to(&mut self, group: Group) {
-        let options = self.options(group);
+    /// Passes a group's upstreams and options to the dispatcher.
+    fn configure_group(&mut self, group: Group) {
+        let options = self.dispatch_options(group);
         let upstreams = self.upstreams(group);
         let catalog = self.catalog.clone();
-        let nodes: Vec<&Described> =
+        let nodes: Vec<&UpstreamEntry> =
             upstreams.iter().filter_map(|u| catalog.upstreams.get(u)).collect();
         self.owner.take(group, &nodes, &options);
     }
 
-    pub(crate) fn take(&mut self, now: Millis, group: Group, out: &mut Vec<Output>) {
-        self.dispatch_to(group);
+    pub(crate) fn serve_group(&mut self, now: Millis, group: Group, out: &mut Vec<Output>) {
+        self.configure_group(group);
         let upstreams = self.upstreams(group);
         let known: Vec<Upstream> =
             upstreams.iter().copied().filter(|u| self.leaving.contains_key(u)).collect();
         for upstream in known {
-            self.at_owner(now, owner::Event::Leaving(upstream), out);
+            self.handle_owner_event(now, owner::Event::Leaving(upstream), out);
         }
         out.push(Output::Connect(self.upstreams(group)));
     }
 
-    /// Takes the table's and the catalog's newer description into the groups served here.
-    pub(crate) fn describe(&mut self) {
+    /// Applies a new table or catalog to the groups served here.
+    pub(crate) fn update_served_groups(&mut self) {
         let served: Vec<Group> =
             self.index.iter().map(|(group, _)| group).filter(|g| self.groups.serves(*g)).collect();
         for group in served {
-            self.dispatch_to(group);
+            self.configure_group(group);
         }
     }
 
-    pub(crate) fn options(&self, group: Group) -> owner::Options {
+    pub(crate) fn dispatch_options(&self, group: Group) -> owner::Options {
         let mut options = self.dispatch.clone();
         let name = self.catalog.services.get(&group.service).map(|s| &s.name);
         let row = name.and_then(|n| self.table.as_ref()?.rows.get(n));
@@ -227,7 +234,7 @@
         self.index.get(group).map(|m| m.upstreams.clone()).unwrap_or_default()
     }
 
-    pub(crate) fn placement(&self, group: Group, what: &'static str, out: &mut Vec<Output>) {
+    pub(crate) fn log_placement(&self, group: Group, what: &'static str, out: &mut Vec<Output>) {
         let owner = self.owner_of(group);
         let upstreams = self.upstreams(group);
         out.push(Output::Note(Note::Placement(Placement { group, upstreams, owner, what })));
--- a/crates/tgw-node/tests/node.rs
+++ b/crates/tgw-node/tests/node.rs
@@ -1,4 +1,4 @@
-//! Tests of the whole decision core of a VM and of what VMs tell one another.
+//! Tests of the decision core of a VM and of the messages between VMs.
 
 #![allow(clippy::expect_used, clippy::unwrap_used, clippy::panic)] // A test fails by panic.
 
@@ -33,18 +33,18 @@
     let order = Order {
         number: 1,
         key: order_key,
-        age_s: Some(1),
-        left: Millis::new(5),
+        key_age_s: Some(1),
+        remaining: Millis::new(5),
         body: Bytes::from_static(b"{}"),
     };
-    let told = |outcome| Message::Outcome(Told::bare(key, outcome));
+    let outcome_message = |outcome| Message::Outcome(Told::bare(key, outcome));
     vec![
         Message::Ask(ask(Work::Search)),
         Message::Ask(ask(Work::Order("o".into()))),
         Message::Cancel(key),
-        told(Outcome::Items(Bytes::from_static(b"[]"))),
-        told(Outcome::Failed(Failure::Malformed)),
-        told(Outcome::Moved(Some(Vm(9)))),
+        outcome_message(Outcome::Items(Bytes::from_static(b"[]"))),
+        outcome_message(Outcome::Failed(Failure::Malformed)),
+        outcome_message(Outcome::Moved(Some(Vm(9)))),
         Message::Alive,
         Message::Probe,
         Message::Order(order),
@@ -55,15 +55,15 @@
     ]
 }
 
-// Every order ends as unknown and half of the searches miss shards. A message was of a form that the
-// codec writes but cannot read back (a tagged enum), the receiver refused the frame and closed the
-// link, and all that travelled on the link was lost with it.
+// Guards against a message that the codec encodes but cannot decode, such as a tagged enum: the receiver
+// rejects the frame and closes the link with all messages on it, so that every order ends as unknown
+// and half of the searches miss shards.
 #[test]
-fn every_message_survives_the_wire() {
+fn every_message_decodes_as_it_was_encoded() {
     let keys = Keys::new([7; 32], None);
     for message in messages() {
-        let frame = tgw_wire::seal(&keys, &message).expect("it fits a frame");
-        let read: Message = tgw_wire::open(&keys, &frame).expect("it reads back");
+        let frame = tgw_wire::seal(&keys, &message).expect("the message fits a frame");
+        let read: Message = tgw_wire::open(&keys, &frame).expect("the frame decodes");
         assert_eq!(read, message);
     }
 }
--- a/crates/tgw-order/src/ledger.rs
+++ b/crates/tgw-order/src/ledger.rs
@@ -3,26 +3,26 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Claims that one object may hold: about 100 bytes each, and a result of a few hundred.
-pub const LIMIT_BYTES: usize = 900_000;
-/// Largest result that is kept with a claim; a larger one is replaced by nothing.
-pub const RESULT_BYTES: usize = 2_048;
+/// Most bytes of claims in one object: a claim takes about 100, and its result a few hundred.
+pub const MAX_OBJECT_BYTES: usize = 900_000;
+/// Largest result that is kept with a claim; a larger one is replaced by an empty one.
+pub const MAX_RESULT_BYTES: usize = 2_048;
 
-/// What came of an order.
+/// The outcome of an order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// It ran once; the upstream answered this.
+    /// It ran once.
     Ran {
         /// The upstream's answer.
         result: String,
     },
     /// It did not run and never will.
     NotRun {
-        /// Why.
+        /// Why it did not run.
         reason: Reason,
     },
-    /// It was sent and no certain reply came: it may have run once, and will not be sent again.
+    /// It was sent, and no reply says whether it ran: it may have run once and is not sent again.
     Unknown,
 }
 
@@ -33,23 +33,23 @@
     /// The platform's store could not be reached, so no claim was made.
     #[display("store_unavailable")]
     StoreUnavailable,
-    /// The deadline passed before it was sent.
+    /// The deadline passed before the order was sent.
     #[display("deadline")]
     Deadline,
-    /// No upstream took it; each that was asked stated so.
+    /// There was no upstream to send it to, or each that it was sent to stated that it did not run it.
     #[display("no_upstream")]
     NoUpstream,
-    /// The object for claims of the key's time is full.
+    /// The object for the key's claim is full.
     #[display("claims_full")]
     ClaimsFull,
 }
 
-/// One claim: who may send the order, and what came of it.
+/// One claim: the worker that may send the order, and the order's outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// The clerk that made it, by its VM and life: nobody else ever sends the order.
+    /// The worker that made it, one incarnation of one VM: no other ever sends the order.
     pub holder: u64,
-    /// What came of it; `None` while it may be sent or running.
+    /// The order's outcome; `None` while the order may be sent or running.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub outcome: Option<Outcome>,
 }
@@ -62,14 +62,14 @@
 }
 
 impl Ledger {
-    /// About how many bytes it takes as JSON.
-    pub fn bytes(&self) -> usize {
-        /// A claim without its name and result.
-        const CLAIM: usize = 80;
+    /// Approximate size as JSON.
+    pub fn approx_bytes(&self) -> usize {
+        /// Size of a claim without its name and result.
+        const CLAIM_OVERHEAD_BYTES: usize = 80;
         let result = |c: &Claim| match &c.outcome {
             Some(Outcome::Ran { result }) => result.len(),
             _ => 0,
         };
-        self.claims.iter().map(|(name, c)| name.len() + CLAIM + result(c)).sum()
+        self.claims.iter().map(|(name, c)| name.len() + CLAIM_OVERHEAD_BYTES + result(c)).sum()
     }
 }
--- a/crates/tgw-order/tests/interleavings/mod.rs
+++ b/crates/tgw-order/tests/interleavings/mod.rs
@@ -1,64 +1,64 @@
-//! Two clerks, one store, one upstream and a caller that repeats itself, in a random order that a
-//! seed fixes.
+//! Simulation of two workers, one store, one upstream and a caller that repeats its requests. A seed
+//! determines the order of events.
 
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use std::collections::{BTreeMap, BTreeSet};
 use tgw_clock::Millis;
-use tgw_order::{Action, Clerk, Event, Key, Ledger, Outcome, Ran, Stored};
+use tgw_order::{Action, Event, Key, Ledger, Outcome, RunOutcome, Stored, Worker};
 use tgw_topology::Service;
 
 const KEYS: usize = 3;
 const NOW_S: u64 = 1_800_000_000;
-const TIME_FOR_AN_ORDER: Millis = Millis::new(400);
+const ORDER_TIMEOUT_MS: Millis = Millis::new(400);
 
-/// A call of the store that is under way.
+/// A call to the store that is in flight.
 struct Call {
-    clerk: usize,
-    life: u64,
+    instance: usize,
+    incarnation: u64,
     action: Action,
 }
 
-struct Asked {
+struct Request {
     key: Key,
     outcome: Option<Outcome>,
-    /// The steps in which it was made and answered.
+    /// Positions in the log at which it was made and answered.
     made: usize,
     answered: usize,
 }
 
-struct Seat {
-    clerk: Clerk,
-    life: u64,
+struct Instance {
+    worker: Worker,
+    incarnation: u64,
     paused: bool,
-    /// It has not been paused: nobody else can have taken its place.
+    /// It was never paused, so no other instance can have acted for it.
     stable: bool,
     inbox: Vec<Event>,
 }
 
-pub(crate) struct World {
+pub(crate) struct Simulation {
     seed: u64,
     rng: SmallRng,
     now: Millis,
-    lives: u64,
-    seats: Vec<Seat>,
+    incarnations: u64,
+    instances: Vec<Instance>,
     store: BTreeMap<String, (u64, Ledger)>,
     version: u64,
     down: bool,
     calls: Vec<Call>,
     running: Vec<(usize, u64, Key)>,
-    /// What the upstream ran: the key and the step in which it was sent.
+    /// The orders that the upstream ran: key and position in the log at which it was sent.
     runs: Vec<(Key, usize)>,
-    asked: Vec<Asked>,
-    /// Who was asked for a key.
-    askers: BTreeMap<Key, BTreeSet<(usize, u64)>>,
+    requests: Vec<Request>,
+    /// The instances that received a request for each key.
+    receivers: BTreeMap<Key, BTreeSet<(usize, u64)>>,
     log: Vec<String>,
 }
 
-impl World {
+impl Simulation {
     pub(crate) fn new(seed: u64) -> Self {
-        let seat = |life| Seat {
-            clerk: Clerk::new(life),
-            life,
+        let instance = |incarnation| Instance {
+            worker: Worker::new(incarnation),
+            incarnation,
             paused: false,
             stable: true,
             inbox: Vec::new(),
@@ -67,16 +67,16 @@
             seed,
             rng: SmallRng::seed_from_u64(seed),
             now: Millis::new(1),
-            lives: 2,
-            seats: vec![seat(1), seat(2)],
+            incarnations: 2,
+            instances: vec![instance(1), instance(2)],
             store: BTreeMap::new(),
             version: 0,
             down: false,
             calls: Vec::new(),
             running: Vec::new(),
             runs: Vec::new(),
-            asked: Vec::new(),
-            askers: BTreeMap::new(),
+            requests: Vec::new(),
+            receivers: BTreeMap::new(),
             log: Vec::new(),
         }
     }
@@ -85,15 +85,15 @@
         self.runs.len()
     }
 
-    pub(crate) fn told(&self) -> impl Iterator<Item = &'static str> {
-        self.asked.iter().filter_map(|a| a.outcome.as_ref()).map(|outcome| match outcome {
+    pub(crate) fn outcomes(&self) -> impl Iterator<Item = &'static str> {
+        self.requests.iter().filter_map(|a| a.outcome.as_ref()).map(|outcome| match outcome {
             Outcome::Ran { .. } => "ran",
             Outcome::NotRun { .. } => "not_run",
             Outcome::Unknown => "unknown",
         })
     }
 
-    /// One thing that may happen next.
+    /// Performs one random event.
     pub(crate) fn step(&mut self) {
         self.now += Millis::new(self.rng.random_range(1..40));
         match self.rng.random_range(0..100) {
@@ -107,11 +107,11 @@
         }
     }
 
-    /// Lets everything end: store up, nobody paused, all calls answered.
+    /// Lets all requests end: the store is up, no instance is paused, and all calls are answered.
     pub(crate) fn settle(&mut self) {
         self.down = false;
-        for seat in 0..self.seats.len() {
-            self.resume(seat);
+        for instance in 0..self.instances.len() {
+            self.resume(instance);
         }
         for _ in 0..200 {
             self.now += Millis::new(50);
@@ -129,68 +129,69 @@
         let number = self.rng.random_range(0..KEYS);
         let text = format!("{NOW_S}-{}-{number}", self.seed);
         let key = Key::read(Service(0), &text, NOW_S).expect("a valid key");
-        let seat = self.rng.random_range(0..self.seats.len());
-        let waiter = self.asked.len() as u64;
+        let instance = self.rng.random_range(0..self.instances.len());
+        let waiter = self.requests.len() as u64;
         let made = self.log.len();
-        let asked = Asked { key, outcome: None, made, answered: usize::MAX };
-        self.asked.push(asked);
-        let deadline = self.now + TIME_FOR_AN_ORDER;
-        self.log.push(format!("{} ask {waiter} key {number} at {seat}", self.now));
-        self.give(seat, Event::Ask { key, waiter, deadline, fresh: false });
+        let request = Request { key, outcome: None, made, answered: usize::MAX };
+        self.requests.push(request);
+        let deadline = self.now + ORDER_TIMEOUT_MS;
+        self.log.push(format!("{} ask {waiter} key {number} at {instance}", self.now));
+        self.deliver(instance, Event::Request { key, waiter, deadline, no_earlier_request: false });
     }
 
-    fn give(&mut self, seat: usize, event: Event) {
-        if self.seats[seat].paused {
-            self.seats[seat].inbox.push(event);
+    fn deliver(&mut self, instance: usize, event: Event) {
+        if self.instances[instance].paused {
+            self.instances[instance].inbox.push(event);
             return;
         }
         let mut event = event;
-        if let Event::Ask { key, fresh, .. } = &mut event {
-            // What a VM knows while all agree on the clerk: whether the key can have been asked before.
-            let asker = (seat, self.seats[seat].life);
-            let askers = self.askers.entry(*key).or_default();
-            askers.insert(asker);
-            *fresh = self.seats[seat].stable && askers.len() == 1;
+        if let Event::Request { key, no_earlier_request, .. } = &mut event {
+            // A VM knows this while all VMs agree on the bucket's owner: whether an earlier request for
+            // the key can have reached another VM.
+            let receiver = (instance, self.instances[instance].incarnation);
+            let receivers = self.receivers.entry(*key).or_default();
+            receivers.insert(receiver);
+            *no_earlier_request = self.instances[instance].stable && receivers.len() == 1;
         }
         let mut out = Vec::new();
-        self.seats[seat].clerk.on(self.now, event, &mut out);
+        self.instances[instance].worker.handle(self.now, event, &mut out);
         for action in out {
-            self.act(seat, action);
+            self.apply(instance, action);
         }
     }
 
-    fn act(&mut self, seat: usize, action: Action) {
-        let life = self.seats[seat].life;
+    fn apply(&mut self, instance: usize, action: Action) {
+        let incarnation = self.instances[instance].incarnation;
         match action {
             Action::Put(..) | Action::Get(_) => {
-                self.calls.push(Call { clerk: seat, life, action });
+                self.calls.push(Call { instance, incarnation, action });
             }
             Action::Run(key, deadline) => {
                 assert!(self.now < deadline, "seed {}: sent after its deadline", self.seed);
-                self.log.push(format!("{} run by {seat}", self.now));
+                self.log.push(format!("{} run by {instance}", self.now));
                 self.runs.push((key, self.log.len()));
-                self.running.push((seat, life, key));
+                self.running.push((instance, incarnation, key));
             }
             Action::Tell(waiter, outcome) => {
                 self.log.push(format!("{} tell {waiter} {outcome:?}", self.now));
-                let asked = &mut self.asked[waiter as usize];
-                assert!(asked.outcome.is_none(), "seed {}: answered twice", self.seed);
-                asked.answered = self.log.len();
-                asked.outcome = Some(outcome);
+                let request = &mut self.requests[waiter as usize];
+                assert!(request.outcome.is_none(), "seed {}: answered twice", self.seed);
+                request.answered = self.log.len();
+                request.outcome = Some(outcome);
             }
             Action::Expire(_) => {}
         }
     }
 
-    /// One call reaches the store, in any order; its reply may be lost.
+    /// Handles one call at the store, in any order; its reply may be lost.
     fn answer_call(&mut self) {
         if self.calls.is_empty() {
             return;
         }
         let at = self.rng.random_range(0..self.calls.len());
-        let Call { clerk, life, action } = self.calls.swap_remove(at);
+        let Call { instance, incarnation, action } = self.calls.swap_remove(at);
         let lost = self.rng.random_bool(0.15);
-        // A lost reply may be noticed before the write takes effect: the write is put back.
+        // A reply may be reported as lost before the write takes effect: the write stays in flight.
         let late = lost && matches!(action, Action::Put(..)) && self.rng.random_bool(0.5);
         let event = match &action {
             Action::Get(object) => {
@@ -200,8 +201,8 @@
             }
             Action::Put(object, _, _) if late => {
                 let event = Event::Stored(object.clone(), Stored::Unknown);
-                // The clerk's life does not matter to the store.
-                self.calls.push(Call { clerk, life: u64::MAX, action: action.clone() });
+                // No incarnation matches this, so its reply is dropped.
+                self.calls.push(Call { instance, incarnation: u64::MAX, action: action.clone() });
                 event
             }
             Action::Put(object, expected, ledger) => {
@@ -211,8 +212,8 @@
             }
             _ => return,
         };
-        if self.seats[clerk].life == life {
-            self.give(clerk, event);
+        if self.instances[instance].incarnation == incarnation {
+            self.deliver(instance, event);
         }
     }
 
@@ -234,79 +235,87 @@
             return;
         }
         let at = self.rng.random_range(0..self.running.len());
-        let (seat, life, key) = self.running.swap_remove(at);
-        if self.seats[seat].life != life {
+        let (instance, incarnation, key) = self.running.swap_remove(at);
+        if self.instances[instance].incarnation != incarnation {
             return;
         }
         let ran = match self.rng.random_range(0..10) {
-            0..7 => Ran::Done("done".into()),
+            0..7 => RunOutcome::Done("done".into()),
             7 => {
-                // The upstream states that it did not run it: that sending does not count.
+                // The upstream states that it did not run the order: this send does not count.
                 self.runs.retain(|(k, _)| *k != key);
-                Ran::NotRun
+                RunOutcome::NotRun
             }
-            _ => Ran::Unknown,
+            _ => RunOutcome::Unknown,
         };
-        self.give(seat, Event::Ran(key, ran));
+        self.deliver(instance, Event::RunDone(key, ran));
     }
 
     fn tick(&mut self) {
-        for seat in 0..self.seats.len() {
-            if !self.seats[seat].paused {
-                self.give(seat, Event::Tick);
+        for instance in 0..self.instances.len() {
+            if !self.instances[instance].paused {
+                self.deliver(instance, Event::Tick);
             }
         }
     }
 
     fn pause(&mut self) {
-        let seat = self.rng.random_range(0..self.seats.len());
-        if self.seats[seat].paused {
+        let instance = self.rng.random_range(0..self.instances.len());
+        if self.instances[instance].paused {
             self.now += Millis::new(self.rng.random_range(0..2000));
-            self.resume(seat);
+            self.resume(instance);
         } else {
-            self.log.push(format!("{} pause {seat}", self.now));
-            self.seats[seat].paused = true;
+            self.log.push(format!("{} pause {instance}", self.now));
+            self.instances[instance].paused = true;
         }
     }
 
-    fn resume(&mut self, seat: usize) {
-        self.seats[seat].stable &= !self.seats[seat].paused;
-        self.seats[seat].paused = false;
-        let events = std::mem::take(&mut self.seats[seat].inbox);
+    fn resume(&mut self, instance: usize) {
+        self.instances[instance].stable &= !self.instances[instance].paused;
+        self.instances[instance].paused = false;
+        let events = std::mem::take(&mut self.instances[instance].inbox);
         for event in events {
-            self.give(seat, event);
+            self.deliver(instance, event);
         }
     }
 
     fn crash(&mut self) {
-        let seat = self.rng.random_range(0..self.seats.len());
-        self.lives += 1;
-        self.log.push(format!("{} crash {seat}", self.now));
-        let life = self.lives;
-        self.seats[seat] =
-            Seat { clerk: Clerk::new(life), life, paused: false, stable: true, inbox: Vec::new() };
+        let instance = self.rng.random_range(0..self.instances.len());
+        self.incarnations += 1;
+        self.log.push(format!("{} crash {instance}", self.now));
+        let incarnation = self.incarnations;
+        self.instances[instance] = Instance {
+            worker: Worker::new(incarnation),
+            incarnation,
+            paused: false,
+            stable: true,
+            inbox: Vec::new(),
+        };
     }
 
-    /// The promises about orders.
+    /// Checks that no order ran twice and that every outcome given to a caller is true.
     pub(crate) fn check(&self) {
-        let story = || format!("seed {}:\n{}", self.seed, self.log.join("\n"));
+        let history = || format!("seed {}:\n{}", self.seed, self.log.join("\n"));
         for (key, _) in &self.runs {
             let runs = self.runs.iter().filter(|(k, _)| k == key).count();
-            assert!(runs <= 1, "{key:?} ran {runs} times, {}", story());
+            assert!(runs <= 1, "{key:?} ran {runs} times, {}", history());
         }
-        for asked in &self.asked {
-            let sent = self.runs.iter().find(|(key, _)| *key == asked.key).map(|(_, step)| *step);
-            // Requests that were under way with this one, or came after it, may have run the order.
-            let others = self
-                .asked
-                .iter()
-                .any(|a| a.key == asked.key && a.made != asked.made && a.answered >= asked.made);
-            match &asked.outcome {
-                Some(Outcome::Ran { .. }) => assert!(sent.is_some(), "told ran, {}", story()),
+        for request in &self.requests {
+            let sent = self.runs.iter().find(|(key, _)| *key == request.key).map(|(_, step)| *step);
+            // Requests that overlapped with this one, or came after it, may have run the order.
+            let others = self.requests.iter().any(|a| {
+                a.key == request.key && a.made != request.made && a.answered >= request.made
+            });
+            match &request.outcome {
+                Some(Outcome::Ran { .. }) => assert!(sent.is_some(), "not sent, {}", history()),
                 Some(Outcome::NotRun { .. }) => {
-                    let before = sent.is_some_and(|step| step < asked.made);
-                    assert!(!before, "had run before, {}", story());
-                    assert!(others || sent.is_none(), "ran after not_run, {}", story());
+                    let before = sent.is_some_and(|step| step < request.made);
+                    assert!(!before, "answered as not run but was sent before, {}", history());
+                    assert!(
+                        others || sent.is_none(),
+                        "sent although answered as not run, {}",
+                        history()
+                    );
                 }
                 Some(Outcome::Unknown) | None => {}
             }
