--- a/crates/tgw-peer/src/parcel.rs
+++ b/crates/tgw-peer/src/frame.rs
@@ -1,4 +1,4 @@
-//! What travels on links.
+//! Frames that are sent over links.
 
 use serde::{Deserialize, Serialize};
 use tgw_member::Record;
@@ -12,35 +12,35 @@
 /// One frame on a link.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Letter {
-    /// The VM that sends it.
+    /// The sending VM.
     pub from: Vm,
-    /// That VM's life.
+    /// The sending VM's incarnation.
     pub incarnation: u64,
-    /// What it carries.
+    /// The frame's payload.
     pub parcel: Parcel,
 }
 
-/// What a frame carries.
+/// The payload of a frame.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Parcel {
-    /// Messages between cores.
+    /// Messages between the decision cores of two VMs.
     Messages(Vec<Message>),
-    /// Records of VMs, for comparison.
+    /// Membership records, for anti-entropy.
     Records(Vec<Record>),
-    /// Asks for what changed after these versions.
+    /// Requests the changes since these versions.
     Ask {
-        /// The edition of the table that the asker has.
+        /// The edition of the table at the requesting VM.
         edit: Edit,
-        /// The version of the catalog that the asker has.
+        /// The version of the catalog at the requesting VM.
         world: Version,
     },
-    /// What changed in the table.
+    /// Changes of the table.
     Table(Delta),
-    /// What changed in the catalog.
+    /// Changes of the catalog.
     World {
-        /// The version that the catalog is as new as.
+        /// The version of the catalog with these changes.
         version: Version,
-        /// Services that changed.
+        /// The services that changed.
         parts: Vec<Part>,
     },
 }
--- a/crates/tgw-peer/src/lib.rs
+++ b/crates/tgw-peer/src/lib.rs
@@ -1,17 +1,17 @@
-//! The peers' duty: sockets round membership and the links that carry messages between VMs.
+//! Networking between VMs: the sockets that membership uses, and the links that carry messages.
 //!
 //! UDP carries membership packets. A TCP link in each direction carries everything else, so that a
-//! VM only writes on links it made and only reads on links made to it.
+//! VM only writes to connections it opened and only reads from connections it accepted.
 
-/// The duty's thread.
-mod duty;
+/// Frames that are sent over links.
+pub mod frame;
 /// Links to other VMs.
 mod link;
-/// The way to other VMs, as demos and tests bend it.
+/// Reachability and delay of other VMs, which demos and tests replace to inject faults.
 pub mod network;
-/// What travels on links.
-pub mod parcel;
+/// The thread that owns the sockets and runs membership.
+mod worker;
 
-pub use duty::{Handle, Options, Outgoing, Report, bind};
+pub use frame::{Letter, Parcel};
 pub use network::{Network, Open, Way};
-pub use parcel::{Letter, Parcel};
+pub use worker::{Handle, Options, Outgoing, Report, bind};
--- a/crates/tgw-peer/src/link.rs
+++ b/crates/tgw-peer/src/link.rs
@@ -1,6 +1,6 @@
 use crate::{
+    frame::Letter,
     network::{Network, Way},
-    parcel::Letter,
 };
 use std::{collections::VecDeque, net::SocketAddr, rc::Rc, sync::Arc};
 use tgw_clock::Millis;
@@ -12,22 +12,22 @@
     time::{Instant, sleep, sleep_until, timeout},
 };
 
-/// Frames that wait for one link; more than this says that the other VM does not keep up.
-const QUEUE: usize = 4096;
-const CONNECT: Millis = Millis::new(1000);
-/// Time for the other side to take a frame; a frozen VM takes none.
-const WRITE: Millis = Millis::new(5000);
+/// Frames queued for one link; a full queue means that the other VM does not keep up.
+const MAX_QUEUED_FRAMES: usize = 4096;
+const CONNECT_TIMEOUT_MS: Millis = Millis::new(1000);
+/// Time for the other VM to accept a write; a frozen VM accepts none.
+const WRITE_TIMEOUT_MS: Millis = Millis::new(5000);
 
-/// A frame and when it may leave.
-type Due = (Instant, Vec<u8>);
+/// An encoded frame and the time from which it may be sent.
+type Delayed = (Instant, Vec<u8>);
 
-/// The sending end of a link.
+/// The sending side of a link.
 #[derive(Clone)]
-pub(crate) struct Link(mpsc::Sender<Due>);
+pub(crate) struct Link(mpsc::Sender<Delayed>);
 
 /// Why a frame was not queued.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Refused {
+pub(crate) enum SendError {
     /// The link's queue is full.
     Full,
     /// The link is closed.
@@ -35,50 +35,55 @@
 }
 
 impl Link {
-    /// Starts a link to `addr`; `closed` is called once when it ends.
+    /// Opens a link to `addr`; `on_close` is called once when it ends.
     pub(crate) fn open(
         addr: SocketAddr,
         network: Arc<dyn Network>,
-        closed: impl FnOnce() + 'static,
+        on_close: impl FnOnce() + 'static,
     ) -> Self {
-        let (sender, receiver) = mpsc::channel(QUEUE);
+        let (sender, receiver) = mpsc::channel(MAX_QUEUED_FRAMES);
         tokio::task::spawn_local(async move {
-            run(addr, network, receiver).await;
-            closed();
+            write_frames(addr, network, receiver).await;
+            on_close();
         });
         Self(sender)
     }
 
-    pub(crate) fn send(&self, delay: Millis, frame: Vec<u8>) -> Result<(), Refused> {
+    pub(crate) fn send(&self, delay: Millis, frame: Vec<u8>) -> Result<(), SendError> {
         let due = Instant::now() + delay.into();
         self.0.try_send((due, frame)).map_err(|e| match e {
-            mpsc::error::TrySendError::Full(_) => Refused::Full,
-            mpsc::error::TrySendError::Closed(_) => Refused::Closed,
+            mpsc::error::TrySendError::Full(_) => SendError::Full,
+            mpsc::error::TrySendError::Closed(_) => SendError::Closed,
         })
     }
 }
 
-async fn run(addr: SocketAddr, network: Arc<dyn Network>, mut frames: mpsc::Receiver<Due>) {
+async fn write_frames(
+    addr: SocketAddr,
+    network: Arc<dyn Network>,
+    mut frames: mpsc::Receiver<Delayed>,
+) {
     if network.way(addr) == Way::Cut {
         return;
     }
-    let Ok(Ok(mut stream)) = timeout(CONNECT.into(), TcpStream::connect(addr)).await else {
+    let Ok(Ok(mut stream)) = timeout(CONNECT_TIMEOUT_MS.into(), TcpStream::connect(addr)).await
+    else {
         return;
     };
     let _ = stream.set_nodelay(true);
     let mut batch = Vec::new();
-    let mut held: VecDeque<Due> = VecDeque::new();
+    let mut delayed: VecDeque<Delayed> = VecDeque::new();
     loop {
-        if held.is_empty() {
+        if delayed.is_empty() {
             match frames.recv().await {
-                Some(due) => held.push_back(due),
+                Some(due) => delayed.push_back(due),
                 None => return,
             }
         }
         while let Ok(due) = frames.try_recv() {
-            held.push_back(due);
+            delayed.push_back(due);
         }
-        if let Some((due, _)) = held.front() {
+        if let Some((due, _)) = delayed.front() {
             sleep_until(*due).await;
         }
         if network.way(addr) == Way::Cut {
@@ -86,28 +91,28 @@
         }
         batch.clear();
         let now = Instant::now();
-        while held.front().is_some_and(|(due, _)| *due <= now) {
-            if let Some((_, frame)) = held.pop_front() {
+        while delayed.front().is_some_and(|(due, _)| *due <= now) {
+            if let Some((_, frame)) = delayed.pop_front() {
                 batch.extend_from_slice(&(frame.len() as u32).to_le_bytes());
                 batch.extend_from_slice(&frame);
             }
         }
-        match timeout(WRITE.into(), stream.write_all(&batch)).await {
+        match timeout(WRITE_TIMEOUT_MS.into(), stream.write_all(&batch)).await {
             Ok(Ok(())) => {}
             _ => return,
         }
     }
 }
 
-/// Reads the letters of one accepted connection until it ends or sends what cannot be read.
-pub(crate) async fn read(
+/// Reads the frames of one accepted connection until it ends or sends an invalid frame.
+pub(crate) async fn read_frames(
     stream: TcpStream,
     keys: Rc<Keys>,
-    take: impl Fn(Letter) -> Result<(), Letter>,
+    deliver: impl Fn(Letter) -> Result<(), Letter>,
 ) {
     let _ = stream.set_nodelay(true);
     let mut stream = BufReader::with_capacity(1 << 16, stream);
-    let mut frame = Vec::new();
+    let mut bytes = Vec::new();
     loop {
         let mut length = [0; LENGTH];
         if stream.read_exact(&mut length).await.is_err() {
@@ -115,24 +120,25 @@
         }
         let length = u32::from_le_bytes(length) as usize;
         if length > FRAME_LIMIT {
-            tracing::warn!(target: "tgw::peer", length, "frame larger than allowed, link closed");
+            tracing::warn!(target: "tgw::peer", length, "frame exceeds size limit, link closed");
             return;
         }
-        frame.resize(length, 0);
-        if stream.read_exact(&mut frame).await.is_err() {
+        bytes.resize(length, 0);
+        if stream.read_exact(&mut bytes).await.is_err() {
             return;
         }
-        match tgw_wire::open(&keys, &frame) {
-            Ok(letter) => {
-                let mut pending = take(letter);
-                while let Err(letter) = pending {
-                    // The core does not keep up: reading stops, and the sender's queue decides.
+        match tgw_wire::open(&keys, &bytes) {
+            Ok(frame) => {
+                let mut delivered = deliver(frame);
+                while let Err(frame) = delivered {
+                    // The core does not keep up. While reading stops, frames wait in the sender's
+                    // queue, and the sender rejects more once that is full.
                     sleep(Millis::new(1).into()).await;
-                    pending = take(letter);
+                    delivered = deliver(frame);
                 }
             }
             Err(error) => {
-                tracing::warn!(target: "tgw::peer", %error, "frame refused, link closed");
+                tracing::warn!(target: "tgw::peer", %error, "frame invalid, link closed");
                 return;
             }
         }
--- a/crates/tgw-peer/src/network.rs
+++ b/crates/tgw-peer/src/network.rs
@@ -1,24 +1,24 @@
-//! The way to other VMs, as demos and tests bend it.
+//! Reachability and delay of other VMs, which demos and tests replace to inject faults.
 
 use std::net::SocketAddr;
 use tgw_clock::Millis;
 
-/// The way to one address.
+/// Reachability of one address.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
 pub enum Way {
-    /// What is sent arrives, after this delay besides the network's own.
+    /// Reachable, with this delay in addition to the network's own.
     Open(Millis),
-    /// Nothing arrives.
+    /// Unreachable.
     Cut,
 }
 
-/// Tells the way to each address.
+/// Gives the reachability of each address.
 pub trait Network: Send + Sync {
-    /// The way to `to` now.
+    /// The current reachability of `to`.
     fn way(&self, to: SocketAddr) -> Way;
 }
 
-/// The network as it is.
+/// The network without injected faults or delays.
 #[derive(Copy, Clone, Debug, Default)]
 pub struct Open;
 
--- a/crates/tgw-peer/src/duty.rs
+++ b/crates/tgw-peer/src/worker.rs
@@ -1,7 +1,7 @@
 use crate::{
-    link::{self, Link, Refused},
+    frame::{Letter, Parcel},
+    link::{self, Link, SendError},
     network::{Network, Way},
-    parcel::{Letter, Parcel},
 };
 use anyhow::Context;
 use std::{
@@ -27,73 +27,73 @@
     time::{MissedTickBehavior, interval, sleep},
 };
 
-const TICK: Millis = Millis::new(20);
-/// Largest UDP packet that is read.
-const PACKET_LIMIT: usize = 64 << 10;
-/// Time between two tries to reach a VM whose link closed.
-const REDIAL: Millis = Millis::new(200);
+const TICK_INTERVAL_MS: Millis = Millis::new(20);
+/// Size of the buffer for received UDP packets.
+const MAX_PACKET_BYTES: usize = 64 << 10;
+/// Time before a new link is opened to a VM whose link closed.
+const RECONNECT_INTERVAL_MS: Millis = Millis::new(200);
 
-/// How the duty works.
+/// Options of the worker.
 pub struct Options {
     /// Membership's options.
     pub member: tgw_member::Options,
-    /// The address to bind, UDP and TCP.
+    /// The address to bind for UDP and TCP.
     pub listen: SocketAddr,
     /// The keys that frames are signed with.
     pub keys: Keys,
-    /// The way to other VMs.
+    /// Reachability and delay of other VMs.
     pub network: Arc<dyn Network>,
-    /// The clock shared by all duties.
+    /// The clock that all threads of the process share.
     pub clock: Arc<dyn Clock>,
-    /// Stops the duty while the VM counts as frozen.
+    /// Blocks the worker while a simulated freeze of the VM lasts.
     pub freeze: Freeze,
 }
 
-/// What other duties ask of this one.
+/// Commands from other threads.
 #[derive(Debug)]
 pub enum Outgoing {
-    /// Send something to a VM.
+    /// Send a payload to a VM.
     Parcel(Vm, Parcel),
-    /// This edition of the table is in force here now.
+    /// This VM now uses this edition of the table.
     Edit(u64),
-    /// The catalog of this version is in use here now.
+    /// This VM now uses this version of the catalog.
     World(u64),
-    /// The platform names VMs to ask.
+    /// Addresses of VMs, as listed by the platform, to join the membership through.
     Seeds(Vec<SocketAddr>),
-    /// This VM leaves: tell everyone.
+    /// This VM leaves: announce it to all VMs.
     Leave,
 }
 
-/// What this duty tells the others. The sinks decide what a full ring means.
+/// Receives the worker's events. The implementation decides what to do when one of its queues is full.
 pub trait Report: Send + 'static {
-    /// A letter from another VM; given back if it cannot be taken now.
+    /// A frame from another VM; returned if it cannot be accepted now.
     fn letter(&self, letter: Letter) -> Result<(), Letter>;
     /// The directory has changed; `relay` says whether this VM watches the platform for its domain.
     fn directory(&self, directory: Arc<Directory>, relay: bool);
-    /// What the domains have in force.
+    /// The editions in force by failure domain.
     fn forces(&self, forces: BTreeMap<Domain, Force>);
     /// The link to a VM broke.
     fn lost(&self, vm: Vm);
-    /// A parcel could not be queued for a VM that does not keep up.
+    /// A payload could not be queued because the VM does not keep up.
     fn refused(&self, vm: Vm, parcel: Parcel);
     /// A VM has a newer table or catalog.
     fn newer(&self, vm: Vm, edit: u64, world: u64);
-    /// This VM was paused for so long that others may have taken over.
+    /// This VM was paused for so long that other VMs may have taken over its groups.
     fn paused(&self, gap: Millis);
 }
 
-/// Counts that can be read while the duty runs.
+/// Counts that can be read while the worker runs.
 #[derive(Debug, Default)]
 pub struct Counts {
     /// UDP bytes sent.
     pub udp_sent: AtomicU64,
-    /// UDP packets refused: malformed, or not signed with a known key.
-    pub refused: AtomicU64,
-    /// Frames sent on links.
+    /// UDP packets rejected as malformed or not signed with a known key.
+    pub rejected_packets: AtomicU64,
+    /// Frames handed to links, including those that a link rejected.
     pub frames: AtomicU64,
 }
 
-/// A running duty.
+/// A running worker.
 pub struct Handle {
     thread: Option<JoinHandle<()>>,
     addr: SocketAddr,
@@ -111,7 +111,7 @@
         &self.counts
     }
 
-    /// Waits for the thread; it ends when its `stop` future does.
+    /// Waits for the thread, which ends when the `stop` channel changes.
     pub fn join(&mut self) {
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
@@ -119,7 +119,7 @@
     }
 }
 
-/// Binds UDP and TCP and starts the thread. Errors: an address is in use or not ours.
+/// Binds UDP and TCP and starts the thread. Fails if the address is in use or not of this machine.
 pub fn bind(
     mut options: Options,
     outgoing: Receiver<Outgoing>,
@@ -130,26 +130,26 @@
     let addr = tcp.local_addr().context("peers' address")?;
     options.member.addr = addr;
     let counts = Arc::new(Counts::default());
-    let seen = counts.clone();
+    let thread_counts = counts.clone();
     let thread = std::thread::Builder::new().name("peers".into()).spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let Ok(runtime) = runtime else { return };
         let local = LocalSet::new();
         local.block_on(&runtime, async move {
-            let duty = Duty::new(options, udp, report, seen);
-            if let Ok(mut duty) = duty {
-                duty.run(tcp, outgoing, stop).await;
+            let worker = Worker::new(options, udp, report, thread_counts);
+            if let Ok(mut worker) = worker {
+                worker.run(tcp, outgoing, stop).await;
             }
         });
     })?;
     Ok(Handle { thread: Some(thread), addr, counts })
 }
 
-/// Binds the same port for UDP and TCP; with port zero, tries until one is free for both.
+/// Binds the same port for UDP and TCP; with port zero, retries until a port is free for both.
 fn bind_both(listen: SocketAddr) -> anyhow::Result<(std::net::UdpSocket, std::net::TcpListener)> {
-    const TRIES: u32 = 32;
+    const MAX_ATTEMPTS: u32 = 32;
     let mut last = None;
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         let tcp = std::net::TcpListener::bind(listen)
             .with_context(|| format!("listen.peers: cannot bind TCP {listen}"))?;
         let addr = tcp.local_addr()?;
@@ -164,7 +164,7 @@
     Err(anyhow::anyhow!("no port is free for both UDP and TCP: {last:?}"))
 }
 
-struct Duty {
+struct Worker {
     vm: Vm,
     incarnation: u64,
     keys: Rc<Keys>,
@@ -174,16 +174,16 @@
     member: Member,
     udp: Rc<UdpSocket>,
     links: BTreeMap<Vm, (SocketAddr, Link)>,
-    /// Links that ended, to be taken out.
+    /// VMs whose links have ended but are not removed yet.
     ended: Rc<RefCell<Vec<Vm>>>,
-    redial: BTreeMap<Vm, Millis>,
+    closed_at: BTreeMap<Vm, Millis>,
     report: Rc<Box<dyn Report>>,
     records: Rc<RefCell<Vec<Vec<Record>>>>,
     counts: Arc<Counts>,
     relay: Cell<bool>,
 }
 
-impl Duty {
+impl Worker {
     fn new(
         options: Options,
         udp: std::net::UdpSocket,
@@ -202,7 +202,7 @@
             udp: Rc::new(UdpSocket::from_std(udp)?),
             links: BTreeMap::new(),
             ended: Rc::default(),
-            redial: BTreeMap::new(),
+            closed_at: BTreeMap::new(),
             report: Rc::new(report),
             records: Rc::default(),
             counts,
@@ -219,87 +219,87 @@
         let listener = tcp.set_nonblocking(true).and_then(|()| TcpListener::from_std(tcp));
         let Ok(listener) = listener else { return };
         self.accept(listener);
-        let mut tick = interval(TICK.into());
+        let mut tick = interval(TICK_INTERVAL_MS.into());
         tick.set_missed_tick_behavior(MissedTickBehavior::Skip);
-        let mut buffer = vec![0; PACKET_LIMIT];
+        let mut buffer = vec![0; MAX_PACKET_BYTES];
         let udp = self.udp.clone();
         loop {
             tokio::select! {
                 _ = stop.changed() => return,
                 _ = tick.tick() => self.tick(),
                 () = outgoing.ready() => {
-                    while let Some(item) = outgoing.pop() {
-                        self.outgoing(item);
+                    while let Some(command) = outgoing.pop() {
+                        self.handle_command(command);
                     }
                 }
                 received = udp.recv_from(&mut buffer) => {
                     if let Ok((length, from)) = received {
-                        self.packet(&buffer[..length], from);
+                        self.handle_packet(&buffer[..length], from);
                     }
                 }
             }
             self.freeze.hold();
-            self.reap();
+            self.remove_ended_links();
         }
     }
 
-    /// Accepts links and passes their letters on.
+    /// Accepts links and delivers their frames.
     fn accept(&self, listener: TcpListener) {
         let (keys, report, records) =
             (self.keys.clone(), self.report.clone(), self.records.clone());
         tokio::task::spawn_local(async move {
             loop {
                 let Ok((stream, _)) = listener.accept().await else {
-                    sleep(TICK.into()).await;
+                    sleep(TICK_INTERVAL_MS.into()).await;
                     continue;
                 };
                 let (report, records) = (report.clone(), records.clone());
-                let take = move |letter: Letter| match letter.parcel {
-                    Parcel::Records(list) => {
-                        records.borrow_mut().push(list);
+                let deliver = move |frame: Letter| match frame.parcel {
+                    Parcel::Records(batch) => {
+                        records.borrow_mut().push(batch);
                         Ok(())
                     }
-                    _ => report.letter(letter),
+                    _ => report.letter(frame),
                 };
-                tokio::task::spawn_local(link::read(stream, keys.clone(), take));
+                tokio::task::spawn_local(link::read_frames(stream, keys.clone(), deliver));
             }
         });
     }
 
-    fn packet(&mut self, bytes: &[u8], from: SocketAddr) {
+    fn handle_packet(&mut self, bytes: &[u8], from: SocketAddr) {
         match tgw_wire::open::<Packet>(&self.keys, bytes) {
-            Ok(packet) => self.on(Event::Packet(from, Box::new(packet))),
+            Ok(packet) => self.handle_event(Event::Packet(from, Box::new(packet))),
             Err(error) => {
-                self.counts.refused.fetch_add(1, Ordering::Relaxed);
-                tracing::debug!(target: "tgw::peer", %error, %from, "packet refused");
+                self.counts.rejected_packets.fetch_add(1, Ordering::Relaxed);
+                tracing::debug!(target: "tgw::peer", %error, %from, "packet malformed or signature invalid");
             }
         }
     }
 
     fn tick(&mut self) {
-        let lists = std::mem::take(&mut *self.records.borrow_mut());
-        for list in lists {
-            self.on(Event::Records(list));
+        let batches = std::mem::take(&mut *self.records.borrow_mut());
+        for batch in batches {
+            self.handle_event(Event::Records(batch));
         }
-        self.on(Event::Tick);
+        self.handle_event(Event::Tick);
         self.report.forces(self.member.forces().clone());
     }
 
-    fn on(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.member.on(self.clock.now(), event, &mut actions);
         for action in actions {
             match action {
                 Action::Send(to, packet) => self.send_packet(to, &packet),
-                Action::Sync(to, records) => self.sync(to, records),
-                Action::Changed => self.changed(),
+                Action::Sync(to, records) => self.send_records(to, records),
+                Action::Changed => self.publish_directory(),
                 Action::Newer { vm, edit, world, .. } => self.report.newer(vm, edit, world),
                 Action::Paused(gap) => self.report.paused(gap),
             }
         }
     }
 
-    fn changed(&mut self) {
+    fn publish_directory(&mut self) {
         let directory = Arc::new(self.member.directory());
         let live: BTreeSet<Vm> = directory
             .members
@@ -314,91 +314,92 @@
 
     fn send_packet(&self, to: SocketAddr, packet: &Packet) {
         let Way::Open(delay) = self.network.way(to) else { return };
-        let Ok(frame) = tgw_wire::seal(&self.keys, packet) else { return };
-        self.counts.udp_sent.fetch_add(frame.len() as u64, Ordering::Relaxed);
+        let Ok(bytes) = tgw_wire::seal(&self.keys, packet) else { return };
+        self.counts.udp_sent.fetch_add(bytes.len() as u64, Ordering::Relaxed);
         if delay == Millis::ZERO {
-            // A full socket buffer loses the packet, as the network may.
-            let _ = self.udp.try_send_to(&frame, to);
+            // A packet dropped by a full socket buffer is handled like one lost by the network.
+            let _ = self.udp.try_send_to(&bytes, to);
             return;
         }
         let udp = self.udp.clone();
         tokio::task::spawn_local(async move {
             sleep(delay.into()).await;
-            let _ = udp.try_send_to(&frame, to);
+            let _ = udp.try_send_to(&bytes, to);
         });
     }
 
-    /// Sends records on a link of their own: the other VM may not be known yet.
-    fn sync(&self, to: SocketAddr, records: Vec<Record>) {
+    /// Sends records over a separate link, as the other VM may not be known yet.
+    fn send_records(&self, to: SocketAddr, records: Vec<Record>) {
         let link = Link::open(to, self.network.clone(), || {});
-        let letter = self.letter(Parcel::Records(records));
-        if let (Ok(frame), Way::Open(delay)) =
-            (tgw_wire::seal(&self.keys, &letter), self.network.way(to))
+        let frame = self.frame(Parcel::Records(records));
+        if let (Ok(bytes), Way::Open(delay)) =
+            (tgw_wire::seal(&self.keys, &frame), self.network.way(to))
         {
-            let _ = link.send(delay, frame);
+            let _ = link.send(delay, bytes);
         }
     }
 
-    fn letter(&self, parcel: Parcel) -> Letter {
+    fn frame(&self, parcel: Parcel) -> Letter {
         Letter { from: self.vm, incarnation: self.incarnation, parcel }
     }
 
-    fn outgoing(&mut self, item: Outgoing) {
-        match item {
-            Outgoing::Parcel(to, parcel) => self.post(to, parcel),
-            Outgoing::Edit(edit) => self.on(Event::Edit(edit)),
-            Outgoing::World(version) => self.on(Event::World(version)),
-            Outgoing::Seeds(seeds) => self.on(Event::Seeds(seeds)),
-            Outgoing::Leave => self.on(Event::Leave),
+    fn handle_command(&mut self, command: Outgoing) {
+        match command {
+            Outgoing::Parcel(to, parcel) => self.send_frame(to, parcel),
+            Outgoing::Edit(edit) => self.handle_event(Event::Edit(edit)),
+            Outgoing::World(version) => self.handle_event(Event::World(version)),
+            Outgoing::Seeds(seeds) => self.handle_event(Event::Seeds(seeds)),
+            Outgoing::Leave => self.handle_event(Event::Leave),
         }
     }
 
-    fn post(&mut self, to: Vm, parcel: Parcel) {
-        let letter = self.letter(parcel);
-        let Ok(frame) = tgw_wire::seal(&self.keys, &letter) else { return };
+    fn send_frame(&mut self, to: Vm, parcel: Parcel) {
+        let frame = self.frame(parcel);
+        let Ok(bytes) = tgw_wire::seal(&self.keys, &frame) else { return };
         let sent = match self.link(to) {
             Some((addr, link)) => match self.network.way(addr) {
-                Way::Open(delay) => link.send(delay, frame),
-                Way::Cut => Err(Refused::Closed),
+                Way::Open(delay) => link.send(delay, bytes),
+                Way::Cut => Err(SendError::Closed),
             },
-            None => Err(Refused::Closed),
+            None => Err(SendError::Closed),
         };
         self.counts.frames.fetch_add(1, Ordering::Relaxed);
         match sent {
             Ok(()) => {}
-            Err(Refused::Full) => self.report.refused(to, letter.parcel),
-            Err(Refused::Closed) => {
+            Err(SendError::Full) => self.report.refused(to, frame.parcel),
+            Err(SendError::Closed) => {
                 self.links.remove(&to);
                 self.report.lost(to);
             }
         }
     }
 
-    /// The link to a VM, made if there is none; `None` if it is unknown or broke just now.
+    /// Returns the link to a VM and opens it if needed; `None` if the VM is unknown or its link closed
+    /// too recently.
     fn link(&mut self, to: Vm) -> Option<(SocketAddr, Link)> {
         let now = self.clock.now();
         let addr = self.member.directory_addr(to)?;
-        let known = self.links.get(&to).filter(|(known, _)| *known == addr);
+        let known = self.links.get(&to).filter(|(linked, _)| *linked == addr);
         if let Some((_, link)) = known {
             return Some((addr, link.clone()));
         }
-        if self.redial.get(&to).is_some_and(|since| now - *since < REDIAL) {
+        if self.closed_at.get(&to).is_some_and(|closed| now - *closed < RECONNECT_INTERVAL_MS) {
             return None;
         }
         let ended = self.ended.clone();
-        let closed = move || ended.borrow_mut().push(to);
-        let link = Link::open(addr, self.network.clone(), closed);
+        let on_close = move || ended.borrow_mut().push(to);
+        let link = Link::open(addr, self.network.clone(), on_close);
         self.links.insert(to, (addr, link.clone()));
         Some((addr, link))
     }
 
-    /// Takes out links that ended and tells of them.
-    fn reap(&mut self) {
+    /// Removes links that ended and reports their VMs as disconnected.
+    fn remove_ended_links(&mut self) {
         let ended = std::mem::take(&mut *self.ended.borrow_mut());
         let now = self.clock.now();
         for vm in ended {
             self.links.remove(&vm);
-            self.redial.insert(vm, now);
+            self.closed_at.insert(vm, now);
             self.report.lost(vm);
         }
     }
