--- a/crates/tgw-replay/src/lib.rs
+++ b/crates/tgw-replay/src/lib.rs
@@ -1,12 +1,12 @@
-//! Traces: all that a core was told and what it did, as JSON lines, and their replay.
+//! Traces of a decision core's inputs and outputs, as JSON lines, and their replay.
 //!
-//! The first line names the core; each further one gives a time, an input, and the outputs that the
-//! core answered with, as text. A replay feeds the inputs to a fresh core under the recorded times and
-//! compares what it does.
+//! The first line identifies the core. Each further line has a time, an input, and the core's outputs for
+//! that input as text. A replay feeds the inputs to a new core at the recorded times and compares its outputs
+//! with the recorded ones.
 
-/// Text of a core's outputs.
+/// Text format of a core's outputs.
 mod render;
-/// Recording and replay.
+/// Recording and replay of traces.
 mod trace;
 
 pub use render::render;
--- a/crates/tgw-replay/src/render.rs
+++ b/crates/tgw-replay/src/render.rs
@@ -1,9 +1,9 @@
 use tgw_node::{Message, Note, Output, message::Told};
 
-/// One output as a line of a trace.
+/// Formats one output as it stands in a trace.
 pub fn render(output: &Output) -> String {
     match output {
-        Output::Tell(to, message) => format!("tell {to} {}", told(message)),
+        Output::Tell(to, message) => format!("tell {to} {}", render_message(message)),
         Output::Send { ticket, upstream, leaf } => {
             format!("send t{ticket} {upstream} {} {}", leaf.key, leaf.snapshot)
         }
@@ -28,11 +28,11 @@
         Output::Store(action) => format!("store {action:?}"),
         Output::Connect(upstreams) => format!("connect {upstreams:?}"),
         Output::Disconnect(upstreams) => format!("disconnect {upstreams:?}"),
-        Output::Note(note) => noted(note),
+        Output::Note(note) => render_note(note),
     }
 }
 
-fn told(message: &Message) -> String {
+fn render_message(message: &Message) -> String {
     match message {
         Message::Ask(ask) => {
             let stand_in = if ask.stand_in { " as stand-in" } else { "" };
@@ -40,7 +40,7 @@
         }
         Message::Cancel(key) => format!("cancel {key}"),
         Message::Outcome(Told { key, outcome, extra, waited, .. }) => {
-            format!("outcome {key} {} extra {extra} waited {waited}", short(outcome))
+            format!("outcome {key} {} extra {extra} waited {waited}", render_outcome(outcome))
         }
         Message::Alive => "alive".into(),
         Message::Probe => "probe".into(),
@@ -50,14 +50,14 @@
     }
 }
 
-fn short(outcome: &tgw_node::LeafOutcome) -> String {
+fn render_outcome(outcome: &tgw_node::LeafOutcome) -> String {
     match outcome {
         tgw_node::LeafOutcome::Items(items) => format!("{} bytes", items.len()),
         other => format!("{other:?}"),
     }
 }
 
-fn noted(note: &Note) -> String {
+fn render_note(note: &Note) -> String {
     match note {
         Note::Entry(note) => format!("note {} {}", note.query, note.what),
         Note::Dispatch(note) => {
--- a/crates/tgw-replay/src/trace.rs
+++ b/crates/tgw-replay/src/trace.rs
@@ -5,32 +5,33 @@
 use tgw_clock::Millis;
 use tgw_node::{Identity, Input, Node, Options, Output, Tap};
 
-/// The version of the format.
-const FORMAT: u32 = 1;
-/// Differences that are kept of one replay.
-const KEPT: usize = 20;
+/// Version of the trace format.
+const FORMAT_VERSION: u32 = 1;
+/// Most differences that a replay reports; further ones are not recorded.
+const MAX_DIFFERENCES: usize = 20;
 
-/// The first line.
+/// The first line of a trace.
 #[derive(Serialize, Deserialize)]
-struct Head {
+struct Header {
     tanagergw_trace: u32,
     core: Identity,
 }
 
-/// One further line.
+/// One input with the outputs that it led to.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Step {
-    /// Milliseconds since the core's process started, in thousandths.
-    pub t: u64,
-    /// What the core was told.
+    /// Time since the core's process started, in microseconds.
+    #[serde(rename = "t")]
+    pub at_us: u64,
+    /// The input.
     #[serde(rename = "in")]
     pub input: Input,
-    /// What it did.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub out: Vec<String>,
+    /// The core's outputs as text.
+    #[serde(rename = "out", default, skip_serializing_if = "Vec::is_empty")]
+    pub outputs: Vec<String>,
 }
 
-/// Times at which a core was told that time has passed and had nothing to do.
+/// Times of successive ticks that led to no output.
 #[derive(Serialize, Deserialize)]
 struct Ticks {
     ticks: Vec<u64>,
@@ -44,8 +45,9 @@
 }
 
 impl Line {
-    /// Reads a line by its first key: an untagged read would lose what JSON keys stand for.
-    fn read(text: &str) -> serde_json::Result<Self> {
+    /// Decodes a line, telling its kind by its first key. An untagged enum would decode through a buffer in which
+    /// JSON keys that are not strings lose their type.
+    fn decode(text: &str) -> serde_json::Result<Self> {
         if text.starts_with("{\"ticks\"") {
             serde_json::from_str(text).map(Self::Ticks)
         } else {
@@ -54,20 +56,21 @@
     }
 }
 
-/// Writes a trace as a core works. Errors while writing end the trace and are reported once.
+/// Writes a trace while a core runs. The first write error ends the trace.
 pub struct Recorder<W: Write + Send> {
-    out: W,
+    writer: W,
     pending: Option<(u64, Input)>,
     ticks: Vec<u64>,
     failed: bool,
 }
 
 impl<W: Write + Send> Recorder<W> {
-    /// A trace of a core of this identity. Errors: the first line cannot be written.
-    pub fn open(mut out: W, core: &Identity) -> anyhow::Result<Self> {
-        let head = Head { tanagergw_trace: FORMAT, core: core.clone() };
-        writeln!(out, "{}", serde_json::to_string(&head)?).context("cannot write the trace")?;
-        Ok(Self { out, pending: None, ticks: Vec::new(), failed: false })
+    /// Starts a trace of the core with this identity. Errors: the first line cannot be written.
+    pub fn open(mut writer: W, core: &Identity) -> anyhow::Result<Self> {
+        let header = Header { tanagergw_trace: FORMAT_VERSION, core: core.clone() };
+        writeln!(writer, "{}", serde_json::to_string(&header)?)
+            .context("cannot write the trace")?;
+        Ok(Self { writer, pending: None, ticks: Vec::new(), failed: false })
     }
 
     fn write(&mut self, line: &Line) {
@@ -75,7 +78,7 @@
             return;
         }
         let text = serde_json::to_string(line).unwrap_or_default();
-        self.failed = writeln!(self.out, "{text}").and_then(|()| self.out.flush()).is_err();
+        self.failed = writeln!(self.writer, "{text}").and_then(|()| self.writer.flush()).is_err();
     }
 }
 
@@ -85,62 +88,66 @@
     }
 
     fn outputs(&mut self, outputs: &[Output]) {
-        let Some((t, input)) = self.pending.take() else { return };
+        let Some((at_us, input)) = self.pending.take() else { return };
         if matches!(input, Input::Tick) && outputs.is_empty() {
-            self.ticks.push(t);
+            self.ticks.push(at_us);
             return;
         }
         if !self.ticks.is_empty() {
             let ticks = std::mem::take(&mut self.ticks);
             self.write(&Line::Ticks(Ticks { ticks }));
         }
-        let out = outputs.iter().map(render).collect();
-        self.write(&Line::Step(Box::new(Step { t, input, out })));
+        let outputs = outputs.iter().map(render).collect();
+        self.write(&Line::Step(Box::new(Step { at_us, input, outputs })));
     }
 }
 
-/// Where a replay differs from its trace.
+/// A line of a trace at which the replay's outputs differ from the recorded ones.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Difference {
-    /// The line of the trace.
+    /// Line number in the trace.
     pub line: usize,
-    /// What the trace states and the core did not do.
+    /// Outputs in the trace that the replay did not produce.
     pub missing: Vec<String>,
-    /// What the core did and the trace does not state.
+    /// Outputs of the replay that are not in the trace.
     pub extra: Vec<String>,
 }
 
-/// What a replay found.
+/// Counts and differences of one replay.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Outcome {
-    /// Inputs that were fed.
+    /// Inputs fed to the core.
     pub inputs: u64,
-    /// Outputs that were compared.
+    /// Outputs compared.
     pub outputs: u64,
-    /// Answers to callers among them.
+    /// Outputs that are answers to callers.
     pub answers: u64,
-    /// The first differences.
+    /// The first differences, at most 20.
     pub differences: Vec<Difference>,
 }
 
-/// Feeds a trace to a fresh core. Errors: a line cannot be read, with its number.
+/// Replays a trace on a new core. Errors: a line cannot be decoded, with its number.
 pub fn replay(trace: impl BufRead) -> anyhow::Result<Outcome> {
     let mut lines = trace.lines().enumerate();
     let (_, first) = lines.next().context("the trace is empty")?;
-    let head: Head =
+    let header: Header =
         serde_json::from_str(&first?).context("line 1: not a trace of this program")?;
-    anyhow::ensure!(head.tanagergw_trace == FORMAT, "line 1: format {}", head.tanagergw_trace);
-    let mut node = Node::new(Options::shipped(&head.core));
+    anyhow::ensure!(
+        header.tanagergw_trace == FORMAT_VERSION,
+        "line 1: unsupported format version {}",
+        header.tanagergw_trace
+    );
+    let mut node = Node::new(Options::shipped(&header.core));
     let mut outcome = Outcome::default();
     for (index, line) in lines {
         let line = line?;
         let number = index + 1;
-        let read = Line::read(&line).with_context(|| format!("line {number}"))?;
-        match read {
+        let decoded = Line::decode(&line).with_context(|| format!("line {number}"))?;
+        match decoded {
             Line::Step(step) => feed(&mut node, number, *step, &mut outcome),
             Line::Ticks(Ticks { ticks }) => {
-                for t in ticks {
-                    let step = Step { t, input: Input::Tick, out: Vec::new() };
+                for at_us in ticks {
+                    let step = Step { at_us, input: Input::Tick, outputs: Vec::new() };
                     feed(&mut node, number, step, &mut outcome);
                 }
             }
@@ -150,18 +157,18 @@
 }
 
 fn feed(node: &mut Node, line: usize, step: Step, outcome: &mut Outcome) {
-    let mut out = Vec::new();
-    node.on(Millis::from_micros(step.t), step.input, &mut out);
-    let got: Vec<String> = out.iter().map(render).collect();
+    let mut produced = Vec::new();
+    node.on(Millis::from_micros(step.at_us), step.input, &mut produced);
+    let got: Vec<String> = produced.iter().map(render).collect();
     outcome.inputs += 1;
     outcome.outputs += got.len() as u64;
-    outcome.answers += out.iter().filter(|o| matches!(o, Output::Answer(..))).count() as u64;
-    if got == step.out || outcome.differences.len() >= KEPT {
+    outcome.answers += produced.iter().filter(|o| matches!(o, Output::Answer(..))).count() as u64;
+    if got == step.outputs || outcome.differences.len() >= MAX_DIFFERENCES {
         return;
     }
-    let lacks = |of: &[String], other: &[String]| -> Vec<String> {
+    let absent_from = |of: &[String], other: &[String]| -> Vec<String> {
         of.iter().filter(|line| !other.contains(line)).cloned().collect()
     };
-    let (missing, extra) = (lacks(&step.out, &got), lacks(&got, &step.out));
+    let (missing, extra) = (absent_from(&step.outputs, &got), absent_from(&got, &step.outputs));
     outcome.differences.push(Difference { line, missing, extra });
 }
