--- a/crates/tanagergw/src/access.rs
+++ b/crates/tanagergw/src/access.rs
@@ -1,4 +1,4 @@
-//! Where the platform and the VMs are: from a settings file or from options.
+//! Addresses of the platform and of VMs, from a settings file or from options.
 
 use crate::settings;
 use anyhow::Context;
@@ -7,76 +7,78 @@
 use tgw_operate::Access;
 use tgw_platform::Http;
 
-const TIMEOUT: Millis = Millis::new(3000);
+const PLATFORM_TIMEOUT_MS: Millis = Millis::new(3000);
 
-/// Options that name the platform.
+/// Options that locate the platform.
 #[derive(clap::Args, Clone)]
 pub(crate) struct Platform {
-    /// A VM's settings file, which names the platform, the VM's operators' address and the token.
+    /// A VM's settings file, which has the platform's address, the VM's operator API address and the token.
     #[arg(long, global = true)]
     settings: Option<String>,
-    /// The platform's address; goes before the settings file.
+    /// The platform's address; overrides the settings file.
     #[arg(long, global = true)]
     platform: Option<SocketAddr>,
 }
 
-/// Options that name VMs.
+/// Options that locate VMs.
 #[derive(clap::Args, Clone)]
 pub(crate) struct Vms {
-    /// VMs' operators' addresses, separated by commas; go before the settings file.
+    /// Operator API addresses of VMs, separated by commas; override the settings file.
     #[arg(long, value_delimiter = ',', global = true)]
     operators: Vec<SocketAddr>,
-    /// The operators' token; goes before the settings file.
+    /// The token for the operator API; overrides the settings file.
     #[arg(long, global = true, env = "TANAGERGW_TOKEN", hide_env_values = true)]
     token: Option<String>,
 }
 
-/// Why access cannot be had: an error, or findings that were printed.
-pub(crate) enum Missing {
+/// Why the platform or the VMs cannot be accessed.
+pub(crate) enum Failure {
+    /// The settings file has findings, which have been printed; the command ends with this code.
     Findings(ExitCode),
     Error(anyhow::Error),
 }
 
-fn file(platform: &Platform) -> Result<Option<tgw_settings::Settings>, Missing> {
+fn open_settings(platform: &Platform) -> Result<Option<tgw_settings::Settings>, Failure> {
     match &platform.settings {
-        Some(file) => settings::open(file).map(Some).map_err(Missing::Findings),
+        Some(file) => settings::open(file).map(Some).map_err(Failure::Findings),
         None => Ok(None),
     }
 }
 
-/// The platform.
-pub(crate) fn store(platform: &Platform) -> Result<Http, Missing> {
-    let settings = file(platform)?;
+/// Opens a client of the platform's store.
+pub(crate) fn open_store(platform: &Platform) -> Result<Http, Failure> {
+    let settings = open_settings(platform)?;
     let addr = platform.platform.or(settings.map(|s| s.platform.addr));
-    let addr = addr.context("name the platform: --settings FILE or --platform ADDRESS");
-    Ok(Http::open(addr.map_err(Missing::Error)?, TIMEOUT))
+    let addr = addr.context("no platform address: pass --settings FILE or --platform ADDRESS");
+    Ok(Http::open(addr.map_err(Failure::Error)?, PLATFORM_TIMEOUT_MS))
 }
 
-/// The VMs.
-pub(crate) fn vms(platform: &Platform, vms: &Vms) -> Result<Access, Missing> {
-    let settings = file(platform)?;
+/// Addresses and token of the VMs' operator APIs.
+pub(crate) fn vm_access(platform: &Platform, vms: &Vms) -> Result<Access, Failure> {
+    let settings = open_settings(platform)?;
     let mut addrs = vms.operators.clone();
     if addrs.is_empty() {
         addrs.extend(settings.as_ref().map(|s| s.listen.operators));
     }
     let token = vms.token.clone().or(settings.map(|s| s.peer.admin_token.0));
-    let token = token.context("name the token: --settings FILE, --token or TANAGERGW_TOKEN");
-    let token = token.map_err(Missing::Error)?;
+    let token = token.context("no token: pass --settings FILE or --token, or set TANAGERGW_TOKEN");
+    let token = token.map_err(Failure::Error)?;
     if addrs.is_empty() {
-        let error = anyhow::anyhow!("name VMs: --settings FILE or --operators ADDRESS,...");
-        return Err(Missing::Error(error));
+        let error =
+            anyhow::anyhow!("no VM addresses: pass --settings FILE or --operators ADDRESS,...");
+        return Err(Failure::Error(error));
     }
     Ok(Access { addrs, token })
 }
 
-/// Unwraps what could be had, or ends the command as [`Missing`] says.
-macro_rules! have {
+/// Unwraps a result, or returns from the command with the exit code or error of the [`Failure`].
+macro_rules! try_access {
     ($result:expr) => {
         match $result {
             Ok(value) => value,
-            Err($crate::access::Missing::Findings(code)) => return Ok(code),
-            Err($crate::access::Missing::Error(error)) => return Err(error),
+            Err($crate::access::Failure::Findings(code)) => return Ok(code),
+            Err($crate::access::Failure::Error(error)) => return Err(error),
         }
     };
 }
-pub(crate) use have;
+pub(crate) use try_access;
--- a/crates/tanagergw/src/bench.rs
+++ b/crates/tanagergw/src/bench.rs
@@ -1,4 +1,4 @@
-//! `tanagergw bench`.
+//! The `tanagergw bench` command.
 
 use anyhow::Context;
 use std::{path::PathBuf, process::ExitCode};
@@ -12,47 +12,49 @@
 
 #[derive(clap::Args)]
 pub(crate) struct Args {
-    /// An experiment, `all`, `list`, `slopes` for what units of state and work cost, `starts` for who reads
-    /// the store where many VMs start at once, `leaving` for how long VMs send to upstreams that leave, `evacuations` for the same of failure domains, `warmup` for what a cold upstream gets from all VMs, `overload` for forwarding under load at its worst, or
-    /// `overload/NAME` for one of its scenarios.
+    /// An experiment, `all`, `list`, `slopes` for the cost of a unit of state and of work, `starts` for which VMs read
+    /// the store when many VMs start at once, `leaving` for how long VMs send to upstreams that leave, `evacuations`
+    /// for the same of failure domains, `warmup` for the load that all VMs put on a cold upstream, `overload` for
+    /// forwarding under extreme load, or `overload/NAME` for one of its scenarios.
     scenario: String,
-    /// Whose size: coimbra, aspen or both.
+    /// User whose fleet size is simulated: coimbra, aspen or both.
     #[arg(long, default_value = "both")]
     user: String,
-    /// Policies compared, separated by commas; `all` for all.
+    /// Policies to compare, separated by commas; `all` for all.
     #[arg(long)]
     policy: Option<String>,
     /// Seeds, separated by commas.
     #[arg(long, default_value = "1", value_delimiter = ',')]
     seed: Vec<u64>,
-    /// Demand as a part of all slots; by default the experiment's own.
+    /// Demand as a fraction of all slots; by default set by the experiment.
     #[arg(long)]
     load: Option<f64>,
-    /// VMs of the tier; six if not stated, nine for `overload`; 9, 82 and 300 for `leaving` and `evacuations`.
+    /// Number of VMs of the tier; by default six, nine for `overload`, and 9, 82 and 300 for `leaving`, `evacuations`
+    /// and `warmup`.
     #[arg(long)]
     vms: Option<usize>,
-    /// Leave the delays between places out.
+    /// Simulate no network delays between failure domains and regions.
     #[arg(long)]
     no_distances: bool,
-    /// Lay each instance's upstreams apart, in three regions.
+    /// Spread each instance's upstreams over three regions.
     #[arg(long)]
     apart: bool,
-    /// Write what the first VM's core was told and did as a trace; use a light `--load`.
+    /// Write the inputs and outputs of the first VM's core to this file as a trace; use a light `--load`.
     #[arg(long)]
     record: Option<PathBuf>,
-    /// Seconds measured; by default eight.
+    /// Length of the measurement in seconds; by default eight.
     #[arg(long)]
     seconds: Option<f64>,
-    /// Seeds that `overload` plays.
+    /// Number of seeds with which `overload` runs.
     #[arg(long, default_value_t = 20)]
     seeds: u64,
-    /// A setting of the tier's decisions for `overload`, as `hedges=no`. May be given again.
+    /// Overrides a policy setting for `overload`, such as `hedges=no`. May be repeated.
     #[arg(long = "set", value_name = "NAME=VALUE")]
     set: Vec<String>,
     /// Print JSON instead of tables.
     #[arg(long)]
     json: bool,
-    /// Write SVG plots into this folder.
+    /// Write SVG plots to this folder.
     #[arg(long)]
     out: Option<PathBuf>,
 }
@@ -74,27 +76,27 @@
         return Ok(ExitCode::SUCCESS);
     }
     if args.scenario == "starts" {
-        return starts(args);
+        return run_starts(args);
     }
     if args.scenario == "leaving" {
-        return leaving(args, leaving::Subject::Upstreams);
+        return run_leaving(args, leaving::Subject::Upstreams);
     }
     if args.scenario == "warmup" {
-        return warmup(args);
+        return run_warmup(args);
     }
     if args.scenario == "evacuations" {
-        return leaving(args, leaving::Subject::Evacuations);
+        return run_leaving(args, leaving::Subject::Evacuations);
     }
     if let Some(name) = args.scenario.strip_prefix("overload") {
-        return overload(args, name.trim_start_matches('/'));
+        return run_overload(args, name.trim_start_matches('/'));
     }
-    let scenarios = match args.scenario.as_str() {
-        "all" => Scenario::ALL.to_vec(),
-        name => vec![
-            Scenario::named(name)
-                .with_context(|| format!("no experiment `{name}`: see `tanagergw bench list`"))?,
-        ],
-    };
+    let scenarios =
+        match args.scenario.as_str() {
+            "all" => Scenario::ALL.to_vec(),
+            name => vec![Scenario::named(name).with_context(|| {
+                format!("unknown experiment `{name}`: see `tanagergw bench list`")
+            })?],
+        };
     let users = match args.user.as_str() {
         "both" => User::ALL.to_vec(),
         name => vec![User::named(name).with_context(|| format!("--user {name}: unknown"))?],
@@ -119,24 +121,25 @@
     if args.json {
         println!("{}", serde_json::to_string_pretty(&reports)?);
     }
-    let kept = reports.iter().flat_map(|r| &r.policies).all(|p| p.mixed + p.lost + p.doubled == 0);
-    Ok(if kept { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    let all_correct =
+        reports.iter().flat_map(|r| &r.policies).all(|p| p.mixed + p.lost + p.doubled == 0);
+    Ok(if all_correct { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-/// VMs of the tier, as the first users have.
-const VMS: usize = 6;
-/// Sizes at which `bench starts` plays a start of all.
-const STARTS: [usize; 4] = [7, 50, 300, 1_000];
+/// Default number of VMs of the tier, the same as in the first users' fleets.
+const DEFAULT_VMS: usize = 6;
+/// Numbers of VMs that start at once in `bench starts`.
+const START_VMS: [usize; 4] = [7, 50, 300, 1_000];
 
-/// Sizes at which `bench leaving` plays upstreams that leave.
-const LEAVING: [usize; 3] = [9, 82, 300];
+/// Default numbers of VMs for `bench leaving`, `bench evacuations` and `bench warmup`.
+const LEAVING_VMS: [usize; 3] = [9, 82, 300];
 
-fn leaving(args: &Args, subject: leaving::Subject) -> anyhow::Result<ExitCode> {
-    let sizes = args.vms.map_or(LEAVING.to_vec(), |vms| vec![vms]);
-    let each = |vms: usize| args.seed.iter().flat_map(move |s| leaving::setups(subject, vms, *s));
+fn run_leaving(args: &Args, subject: leaving::Subject) -> anyhow::Result<ExitCode> {
+    let sizes = args.vms.map_or(LEAVING_VMS.to_vec(), |vms| vec![vms]);
+    let setups = |vms: usize| args.seed.iter().flat_map(move |s| leaving::setups(subject, vms, *s));
     let outcomes: Vec<(String, leaving::Outcome)> = sizes
         .into_iter()
-        .flat_map(each)
+        .flat_map(setups)
         .map(|(name, setup)| (name, leaving::play(setup)))
         .collect();
     if args.json {
@@ -147,14 +150,15 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Rates at which `bench warmup` plays a cold upstream, in requests a second, and VMs that hold the right to send to it.
-const RATES: [f64; 3] = [2.0, 4.0, 20.0];
-const HOLDERS: [usize; 2] = [1, 4];
+/// Request rates at which `bench warmup` runs, per second.
+const WARMUP_RATES_PER_S: [f64; 3] = [2.0, 4.0, 20.0];
+/// Numbers of VMs that hold a lease to send to the cold upstream in `bench warmup`.
+const WARMUP_LEASE_HOLDERS: [usize; 2] = [1, 4];
 
-fn warmup(args: &Args) -> anyhow::Result<ExitCode> {
-    let sizes = args.vms.map_or(LEAVING.to_vec(), |vms| vec![vms]);
+fn run_warmup(args: &Args) -> anyhow::Result<ExitCode> {
+    let sizes = args.vms.map_or(LEAVING_VMS.to_vec(), |vms| vec![vms]);
     let mut outcomes = Vec::new();
-    for (vms, rate, holders) in every(&sizes) {
+    for (vms, rate, holders) in warmup_cases(&sizes) {
         for seed in &args.seed {
             for (name, setup) in warmup::setups(vms, rate, holders, *seed) {
                 let outcome = warmup::play(setup.clone());
@@ -166,15 +170,15 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// All sizes, rates and holders.
-fn every(sizes: &[usize]) -> Vec<(usize, f64, usize)> {
-    let rates = sizes.iter().flat_map(|vms| RATES.map(|rate| (*vms, rate)));
-    rates.flat_map(|(vms, rate)| HOLDERS.map(|holders| (vms, rate, holders))).collect()
+/// All combinations of sizes, rates and numbers of lease holders.
+fn warmup_cases(sizes: &[usize]) -> Vec<(usize, f64, usize)> {
+    let rates = sizes.iter().flat_map(|vms| WARMUP_RATES_PER_S.map(|rate| (*vms, rate)));
+    rates.flat_map(|(vms, rate)| WARMUP_LEASE_HOLDERS.map(|holders| (vms, rate, holders))).collect()
 }
 
-fn starts(args: &Args) -> anyhow::Result<ExitCode> {
+fn run_starts(args: &Args) -> anyhow::Result<ExitCode> {
     let seed = args.seed.first().copied().unwrap_or(1);
-    let setups = STARTS.into_iter().flat_map(|vms| starts::setups(vms, seed));
+    let setups = START_VMS.into_iter().flat_map(|vms| starts::setups(vms, seed));
     let outcomes: Vec<(String, starts::Outcome)> =
         setups.map(|(name, setup)| (name, starts::play(setup))).collect();
     if args.json {
@@ -185,12 +189,12 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn overload(args: &Args, name: &str) -> anyhow::Result<ExitCode> {
+fn run_overload(args: &Args, name: &str) -> anyhow::Result<ExitCode> {
     let scenarios = match name {
         "" => overload::Scenario::ALL.to_vec(),
         name => vec![overload::Scenario::named(name).with_context(|| {
             let known = overload::Scenario::ALL.map(|s| s.to_string());
-            format!("no scenario `{name}` of overload: there are {}", known.join(", "))
+            format!("unknown overload scenario `{name}`: expected one of {}", known.join(", "))
         })?],
     };
     let options = overload::Options { seeds: args.seeds, vms: args.vms, set: args.set.clone() };
@@ -210,7 +214,7 @@
 
 fn options(args: &Args, user: User, seed: u64) -> anyhow::Result<Options> {
     let mut options = Options::new(user, seed);
-    options.vms = args.vms.unwrap_or(VMS);
+    options.vms = args.vms.unwrap_or(DEFAULT_VMS);
     options.hops = !args.no_distances;
     options.spread = if args.apart { Spread::Apart } else { Spread::Together };
     options.load = args.load;
@@ -220,19 +224,19 @@
         None => {}
         Some("all") => options.policies = Policy::ALL.to_vec(),
         Some(names) => {
-            let named = |name: &str| {
+            let parse = |name: &str| {
                 Policy::named(name).with_context(|| {
                     let known: Vec<String> = Policy::ALL.iter().map(Policy::to_string).collect();
-                    format!("--policy {name}: expected some of {}", known.join(", "))
+                    format!("--policy {name}: expected one or more of {}", known.join(", "))
                 })
             };
-            options.policies = names.split(',').map(named).collect::<anyhow::Result<_>>()?;
+            options.policies = names.split(',').map(parse).collect::<anyhow::Result<_>>()?;
         }
     }
     Ok(options)
 }
 
-/// Runs all jobs on as many threads as the machine has processors; the order stays.
+/// Runs all jobs on as many threads as the machine has processors; reports are in the order of the jobs.
 fn run_all(jobs: &[(Scenario, Options)]) -> Vec<Report> {
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
     let next = std::sync::atomic::AtomicUsize::new(0);
--- a/crates/tanagergw/src/demo.rs
+++ b/crates/tanagergw/src/demo.rs
@@ -1,4 +1,4 @@
-//! `tanagergw demo`.
+//! The `tanagergw demo` command.
 
 use crate::{logs, signal};
 use anyhow::Context;
@@ -6,42 +6,43 @@
 use tgw_demo::{Options, Size, fault::Fault};
 use tgw_standin::size::{Spread, User};
 
-/// About how long one fault takes, in seconds.
-const FAULT_S: f64 = 3.5;
-/// The shortest load, in seconds, and the most queries a second, unless told otherwise.
-const LEAST_S: f64 = 8.0;
-const MOST_RATE: f64 = 250.0;
+/// Approximate duration of one fault in s.
+const FAULT_DURATION_S: f64 = 3.5;
+/// Shortest duration of the load in s if no rate is given.
+const MIN_LOAD_DURATION_S: f64 = 8.0;
+/// Highest query rate per second if no rate is given.
+const MAX_RATE_PER_S: f64 = 250.0;
 
 #[derive(clap::Args)]
 pub(crate) struct Args {
-    /// Whose size: coimbra or aspen.
+    /// User whose fleet size is run: coimbra or aspen.
     #[arg(long, default_value = "coimbra")]
     user: String,
-    /// VMs of the tier.
+    /// Number of VMs of the tier.
     #[arg(long, default_value_t = 6, value_parser = clap::value_parser!(u16).range(1..=32))]
     vms: u16,
-    /// Queries to send.
+    /// Number of queries to send.
     #[arg(long, default_value_t = 2000)]
     queries: u64,
-    /// Queries a second; by default as many as spread the queries over all faults.
+    /// Queries per second; by default a rate at which the queries last for all faults.
     #[arg(long)]
     rate: Option<f64>,
-    /// Faults, separated by commas, brought about in this order; `none` for none.
+    /// Faults to inject in this order, separated by commas; `none` for none.
     #[arg(long, default_value = "straggler,kill-owner")]
     faults: String,
-    /// How an instance's upstreams lie: together in one failure domain, or apart in three regions.
+    /// Placement of an instance's upstreams: together in one failure domain, or apart in three regions.
     #[arg(long, default_value = "together")]
     spread: String,
-    /// Leave the delays between places out.
+    /// Simulate no network delays between failure domains and regions.
     #[arg(long)]
     no_distances: bool,
-    /// Seed of all that is random.
+    /// Seed of all random choices.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// One in this many queries has its decisions logged.
+    /// Log the decisions of one in this many queries.
     #[arg(long, default_value_t = 100)]
     sample: u64,
-    /// Write what the first VM's core was told and did as a trace, for `replay`.
+    /// Write the inputs and outputs of the first VM's core to this file as a trace for `replay`.
     #[arg(long)]
     record: Option<PathBuf>,
     /// Log filter.
@@ -50,20 +51,20 @@
     /// Print one JSON object instead of text.
     #[arg(long)]
     json: bool,
-    /// Send no queries; print one JSON line with the addresses and serve until SIGTERM.
+    /// Send no queries; print the addresses as one JSON line and serve until SIGTERM or SIGINT.
     #[arg(long)]
     hold: bool,
 }
 
 pub(crate) fn run(args: &Args) -> anyhow::Result<ExitCode> {
-    logs::open(false, &args.log);
+    logs::init(false, &args.log);
     let options = options(args)?;
     if args.hold {
         let print = |ready: &tgw_demo::Ready| {
             println!("{}", serde_json::to_string(ready).unwrap_or_default());
         };
         let wait = || {
-            let _ = signal::wait();
+            let _ = signal::wait_for_shutdown();
         };
         tgw_demo::hold(options.size, print, wait)?;
         return Ok(ExitCode::SUCCESS);
@@ -74,8 +75,8 @@
     } else {
         print!("{report}");
     }
-    let kept = report.broken_promises.is_empty();
-    Ok(if kept { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    let promises_kept = report.broken_promises.is_empty();
+    Ok(if promises_kept { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
 fn options(args: &Args) -> anyhow::Result<Options> {
@@ -87,15 +88,15 @@
         other => anyhow::bail!("--spread {other}: expected together or apart"),
     };
     let names = args.faults.split(',').map(str::trim).filter(|f| !f.is_empty() && *f != "none");
-    let named = |name: &str| {
+    let parse = |name: &str| {
         Fault::named(name).with_context(|| {
             let known: Vec<String> = Fault::ALL.iter().map(Fault::to_string).collect();
-            format!("--faults {name}: expected some of {}", known.join(", "))
+            format!("--faults {name}: expected one or more of {}", known.join(", "))
         })
     };
-    let faults: Vec<Fault> = names.map(named).collect::<anyhow::Result<_>>()?;
-    let seconds = (faults.len() as f64 * FAULT_S).max(LEAST_S);
-    let rate = args.rate.unwrap_or((args.queries as f64 / seconds).clamp(1.0, MOST_RATE));
+    let faults: Vec<Fault> = names.map(parse).collect::<anyhow::Result<_>>()?;
+    let load_s = (faults.len() as f64 * FAULT_DURATION_S).max(MIN_LOAD_DURATION_S);
+    let rate = args.rate.unwrap_or((args.queries as f64 / load_s).clamp(1.0, MAX_RATE_PER_S));
     Ok(Options {
         size: Size {
             user,
--- a/crates/tanagergw/src/gateway.rs
+++ b/crates/tanagergw/src/gateway.rs
@@ -1,4 +1,4 @@
-//! `tanagergw gateway`: serves on the users' platform.
+//! The `tanagergw gateway` command: serves on the users' platform.
 
 use anyhow::Context;
 use std::{io, process::ExitCode, rc::Rc, time::Duration};
@@ -10,18 +10,18 @@
 use tgw_site::{Objects, Settings, Site, settings};
 use tokio::{runtime, signal::unix, task::LocalSet, time::sleep};
 
-/// Time between looks at the settings file.
-const LOOK: Duration = Duration::from_millis(1_000);
+/// Interval at which the settings file is checked for changes.
+const SETTINGS_POLL_INTERVAL_MS: Duration = Duration::from_millis(1_000);
 
 #[derive(clap::Args)]
 pub(crate) struct Args {
     /// The platform's settings file.
     #[arg(long, env = settings::VARIABLE)]
     settings: String,
-    /// Filter of log lines, as `info` or `tgw_gateway=debug`.
+    /// Log filter, such as `info` or `tgw_gateway=debug`.
     #[arg(long, default_value = "info")]
     log: String,
-    /// For experiments: one mechanism or weight of the decisions, as `hedges=no`. May be given again.
+    /// For experiments: overrides one policy setting, such as `hedges=no`. May be repeated.
     #[arg(long = "set", value_name = "NAME=VALUE")]
     set: Vec<String>,
 }
@@ -29,7 +29,7 @@
 pub(crate) fn run(args: &Args) -> anyhow::Result<ExitCode> {
     let Log { subscriber, dropped, guard: _guard } = log::open(io::stdout(), &args.log)?;
     tracing::subscriber::set_global_default(subscriber)?;
-    let settings = match read(&args.settings) {
+    let settings = match read_settings(&args.settings) {
         Ok(settings) => settings,
         Err(error) => {
             tracing::error!(%error, "settings");
@@ -39,13 +39,13 @@
     let mut policy = Policy::default();
     for setting in &args.set {
         policy.set(setting).with_context(|| format!("--set {setting}"))?;
-        tracing::warn!(setting, "an experiment decides differently");
+        tracing::warn!(setting, "policy setting overridden by --set");
     }
     let runtime = runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, serve(&args.settings, settings, dropped, policy))
 }
 
-fn read(path: &str) -> anyhow::Result<Settings> {
+fn read_settings(path: &str) -> anyhow::Result<Settings> {
     let text = std::fs::read_to_string(path).with_context(|| format!("cannot read {path}"))?;
     settings::read(&text).map_err(|findings| {
         let lines: Vec<String> = findings.iter().map(|f| format!("{path}: {f}")).collect();
@@ -70,24 +70,26 @@
         policy,
     };
     let mut handle = tgw_gateway::spawn(options).await?;
-    let mut known = settings;
+    let mut current = settings;
     loop {
-        // The file may change without a signal.
+        // The file is also polled, as it may change without a SIGHUP.
         tokio::select! {
             _ = term.recv() => break,
             _ = hup.recv() => {}
-            () = sleep(LOOK) => {}
+            () = sleep(SETTINGS_POLL_INTERVAL_MS) => {}
         }
-        match read(path) {
-            Ok(settings) if settings == known => {}
+        match read_settings(path) {
+            Ok(settings) if settings == current => {}
             Ok(settings) => {
                 store.move_to(settings.store);
                 handle.reload(&settings.gateway);
-                known = settings;
+                current = settings;
+            }
+            Err(error) => {
+                tracing::warn!(%error, "cannot read the settings file; keeping the previous settings");
             }
-            Err(error) => tracing::warn!(%error, "settings not taken, the earlier ones hold"),
         }
     }
-    let left = handle.drain().await;
-    Ok(if left == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    let unfinished = handle.drain().await;
+    Ok(if unfinished == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
--- a/crates/tanagergw/src/main.rs
+++ b/crates/tanagergw/src/main.rs
@@ -27,37 +27,37 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run one VM's process, all duties.
+    /// Run one VM's process with all its roles.
     Serve(serve::Args),
-    /// Serve on the users' platform, by its settings file.
+    /// Serve on the users' platform, configured by the platform's settings file.
     Gateway(gateway::Args),
     /// Check a settings file.
     Settings(settings::Args),
     /// Show, check, compare and change the operators' table.
     Table(table::Args),
-    /// Show the fleet.
+    /// Show the fleet's status.
     Status(status::Status),
     /// Explain what the tier decided for one query.
     Explain(status::Explain),
-    /// Show what a gateway holds back, as upstreams end under it, and let it go.
+    /// List or release requests that a gateway quarantines because upstream processes end while serving them.
     Quarantine(quarantine::Args),
     /// Print completions for a shell.
     Completions {
         /// The shell.
         shell: clap_complete::Shell,
     },
-    /// Run stand-ins and several VMs in this process, with queries and faults.
+    /// Run stand-ins and several VMs in this process, send queries and inject faults.
     Demo(demo::Args),
     /// Replay a recorded trace on the decision core.
     Replay(replay::Args),
     /// Run experiments under a virtual clock.
     Bench(bench::Args),
-    /// Run one stand-in, so that `serve` can be tried as separate processes.
+    /// Run a stand-in of the platform or of upstreams, to try `serve` with separate processes.
     Standin(standin::Args),
 }
 
 fn main() -> ExitCode {
-    let done = match Cli::parse().command {
+    let result = match Cli::parse().command {
         Command::Serve(args) => serve::run(&args),
         Command::Gateway(args) => gateway::run(&args),
         Command::Settings(args) => settings::run(&args),
@@ -75,7 +75,7 @@
         Command::Bench(args) => bench::run(&args),
         Command::Standin(args) => standin::run(&args),
     };
-    done.unwrap_or_else(|error| {
+    result.unwrap_or_else(|error| {
         eprintln!("error: {error:#}");
         ExitCode::FAILURE
     })
--- a/crates/tanagergw/src/quarantine.rs
+++ b/crates/tanagergw/src/quarantine.rs
@@ -1,16 +1,16 @@
-//! `tanagergw quarantine`.
+//! The `tanagergw quarantine` command.
 
 use std::{net::SocketAddr, process::ExitCode};
 use tgw_operate::quarantine;
 use tgw_quarantine::Fingerprint;
 
-/// Requests that a gateway holds back, as upstreams end under them.
+/// List or release requests that a gateway quarantines because upstream processes end while serving them.
 #[derive(clap::Args)]
 pub(crate) struct Args {
     /// A VM's readiness address.
     #[arg(long)]
     at: SocketAddr,
-    /// Let this request go, by the fingerprint that the list and log lines bear; all VMs are told.
+    /// Release the request with this fingerprint, as shown in the list and in log lines, at all VMs.
     #[arg(long, value_name = "FINGERPRINT")]
     release: Option<Fingerprint>,
     /// Print JSON.
@@ -20,20 +20,20 @@
 
 pub(crate) fn run(args: &Args) -> anyhow::Result<ExitCode> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    let Some(print) = args.release else {
-        let held = runtime.block_on(quarantine::fetch(args.at))?;
+    let Some(fingerprint) = args.release else {
+        let entries = runtime.block_on(quarantine::fetch(args.at))?;
         if args.json {
-            println!("{}", serde_json::to_string(&held)?);
+            println!("{}", serde_json::to_string(&entries)?);
         } else {
-            print!("{}", quarantine::text(&held));
+            print!("{}", quarantine::render(&entries));
         }
         return Ok(ExitCode::SUCCESS);
     };
-    let released = runtime.block_on(quarantine::release(args.at, print))?;
+    let released = runtime.block_on(quarantine::release(args.at, fingerprint))?;
     if !released {
-        eprintln!("{} does not hold {print} back", args.at);
+        eprintln!("{fingerprint} is not quarantined at {}", args.at);
         return Ok(ExitCode::FAILURE);
     }
-    println!("{print} is let go");
+    println!("{fingerprint} is let go");
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/tanagergw/src/replay.rs
+++ b/crates/tanagergw/src/replay.rs
@@ -1,12 +1,12 @@
-//! `tanagergw replay`.
+//! The `tanagergw replay` command.
 
 use anyhow::Context;
 use std::{fs::File, io::BufReader, process::ExitCode};
 
-/// Feed a recorded trace to the decision core and compare what it does; exit 1 on a difference.
+/// Feed a recorded trace to the decision core and compare its outputs; exit 1 on a difference.
 #[derive(clap::Args)]
 pub(crate) struct Args {
-    /// The trace: JSON lines, as `demo --record` and `bench --record` write.
+    /// The trace file, as written by `demo --record` and `bench --record`.
     trace: String,
 }
 
--- a/crates/tanagergw/src/serve.rs
+++ b/crates/tanagergw/src/serve.rs
@@ -1,11 +1,11 @@
-//! `tanagergw serve`.
+//! The `tanagergw serve` command.
 
 use crate::{logs, settings, signal};
 use std::{process::ExitCode, time::Duration};
 use tgw_serve::Options;
 
-/// Time for running requests to finish after SIGTERM.
-const DRAIN: Duration = Duration::from_secs(60);
+/// Limit for running requests to finish after SIGTERM or SIGINT.
+const DRAIN_TIMEOUT_S: Duration = Duration::from_secs(60);
 
 #[derive(clap::Args)]
 pub(crate) struct Args {
@@ -19,13 +19,13 @@
         Ok(settings) => settings,
         Err(code) => return Ok(code),
     };
-    logs::open(settings.log.json, &settings.log.filter);
+    logs::init(settings.log.json, &settings.log.filter);
     let handle = tgw_serve::spawn(Options::new(settings))?;
     tracing::info!(callers = %handle.callers(), operators = %handle.operators(),
         peers = %handle.peers(), "serving");
-    signal::wait()?;
-    tracing::info!("leaving: finishing all requests");
-    let finished = handle.drain(DRAIN);
+    signal::wait_for_shutdown()?;
+    tracing::info!("draining: finishing all running requests");
+    let finished = handle.drain(DRAIN_TIMEOUT_S);
     tracing::info!(finished, "stopped");
     Ok(if finished { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
--- a/crates/tanagergw/src/settings.rs
+++ b/crates/tanagergw/src/settings.rs
@@ -1,11 +1,11 @@
-//! `tanagergw settings check`.
+//! The `tanagergw settings check` command.
 
 use clap::Subcommand;
 use std::process::ExitCode;
 use tgw_settings::{Finding, Settings};
 
-/// Exit code when a file has findings.
-pub(crate) const FINDINGS: u8 = 2;
+/// Exit code if a file has findings.
+pub(crate) const EXIT_FINDINGS: u8 = 2;
 
 #[derive(clap::Args)]
 pub(crate) struct Args {
@@ -33,12 +33,12 @@
     }
 }
 
-/// Opens a settings file; prints its findings if there are any.
+/// Opens a settings file. If it has findings, prints them and returns the exit code.
 pub(crate) fn open(file: &str) -> Result<Settings, ExitCode> {
     tgw_settings::open(file).map_err(|findings: Vec<Finding>| {
         for finding in &findings {
             eprintln!("{finding}");
         }
-        ExitCode::from(FINDINGS)
+        ExitCode::from(EXIT_FINDINGS)
     })
 }
--- a/crates/tanagergw/src/standin.rs
+++ b/crates/tanagergw/src/standin.rs
@@ -1,4 +1,4 @@
-//! `tanagergw standin`.
+//! The `tanagergw standin` command.
 
 use crate::logs;
 use anyhow::Context;
@@ -20,27 +20,27 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// The platform's object API, holding a user's table and services.
+    /// The platform's object API with a user's table and services.
     Platform {
-        /// Where to listen.
+        /// The address to listen on.
         #[arg(long, default_value = "127.0.0.1:7900")]
         listen: SocketAddr,
-        /// Whose table and services: coimbra or aspen.
+        /// User whose table and services are stored: coimbra or aspen.
         #[arg(long, default_value = "coimbra")]
         user: String,
-        /// The port of the first upstream; each next one listens one port higher.
+        /// Port of the first upstream; each further one listens on the next port.
         #[arg(long, default_value_t = 8000)]
         first_port: u16,
     },
-    /// All upstreams of a user, or those of one service.
+    /// All upstreams of a user, or only those of one service.
     Upstream {
-        /// Whose upstreams: coimbra or aspen.
+        /// User whose upstreams are run: coimbra or aspen.
         #[arg(long, default_value = "coimbra")]
         user: String,
-        /// Only the upstreams of this service.
+        /// Run only the upstreams of this service.
         #[arg(long)]
         service: Option<String>,
-        /// The port of the first upstream; each next one listens one port higher.
+        /// Port of the first upstream; each further one listens on the next port.
         #[arg(long, default_value_t = 8000)]
         first_port: u16,
         /// Median service time in milliseconds.
@@ -50,12 +50,12 @@
 }
 
 pub(crate) fn run(args: &Args) -> anyhow::Result<ExitCode> {
-    logs::open(false, "info");
+    logs::init(false, "info");
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let local = LocalSet::new();
     match &args.command {
         Command::Platform { listen, user, first_port } => {
-            let platform = platform(user, *first_port)?;
+            let platform = build_platform(user, *first_port)?;
             local.block_on(&runtime, async move {
                 let listener = TcpListener::bind(listen)
                     .await
@@ -66,7 +66,7 @@
             })?;
         }
         Command::Upstream { user, service, first_port, median_ms } => {
-            let upstreams = upstreams(user, service.as_deref(), *first_port)?;
+            let upstreams = build_upstreams(user, service.as_deref(), *first_port)?;
             local.block_on(&runtime, serve_all(upstreams, *median_ms))?;
         }
     }
@@ -74,28 +74,28 @@
 }
 
 async fn serve_all(upstreams: Vec<Upstream>, median_ms: f64) -> anyhow::Result<()> {
-    let mut serving = Vec::new();
+    let mut tasks = Vec::new();
     for upstream in upstreams {
         let addr = upstream.node().addr;
         let listener = TcpListener::bind(addr)
             .await
             .with_context(|| format!("--first-port: cannot bind {addr}"))?;
         upstream.set(|k| k.median_ms = median_ms);
-        serving.push(tokio::task::spawn_local(async move { upstream.serve(listener).await }));
+        tasks.push(tokio::task::spawn_local(async move { upstream.serve(listener).await }));
     }
-    tracing::info!(count = serving.len(), "stand-in upstreams");
-    for task in serving {
+    tracing::info!(count = tasks.len(), "stand-in upstreams");
+    for task in tasks {
         task.await??;
     }
     Ok(())
 }
 
-fn named(user: &str) -> anyhow::Result<User> {
+fn parse_user(user: &str) -> anyhow::Result<User> {
     User::named(user).with_context(|| format!("--user {user}: expected coimbra or aspen"))
 }
 
-fn catalog(user: &str, first_port: u16) -> anyhow::Result<Catalog> {
-    let mut catalog = named(user)?.catalog(Spread::Together);
+fn build_catalog(user: &str, first_port: u16) -> anyhow::Result<Catalog> {
+    let mut catalog = parse_user(user)?.catalog(Spread::Together);
     for node in catalog.upstreams.values_mut() {
         let port = u32::from(first_port) + node.id.0;
         node.addr.set_port(u16::try_from(port).context("--first-port: too high")?);
@@ -103,10 +103,10 @@
     Ok(catalog)
 }
 
-fn platform(user: &str, first_port: u16) -> anyhow::Result<Platform> {
-    let catalog = catalog(user, first_port)?;
+fn build_platform(user: &str, first_port: u16) -> anyhow::Result<Platform> {
+    let catalog = build_catalog(user, first_port)?;
     let platform = Platform::default();
-    platform.write("table", "main", serde_json::to_value(named(user)?.table())?);
+    platform.write("table", "main", serde_json::to_value(parse_user(user)?.table())?);
     for entry in catalog.services.values() {
         let own = catalog.upstreams.values().filter(|u| u.service == entry.id);
         let part = Part { entry: entry.clone(), upstreams: own.cloned().collect(), changed: 0 };
@@ -115,17 +115,21 @@
     Ok(platform)
 }
 
-fn upstreams(user: &str, service: Option<&str>, first_port: u16) -> anyhow::Result<Vec<Upstream>> {
-    let catalog = catalog(user, first_port)?;
-    let sizes = named(user)?.services();
-    let only = match service {
+fn build_upstreams(
+    user: &str,
+    service: Option<&str>,
+    first_port: u16,
+) -> anyhow::Result<Vec<Upstream>> {
+    let catalog = build_catalog(user, first_port)?;
+    let sizes = parse_user(user)?.services();
+    let service_id = match service {
         None => None,
         Some(name) => {
-            let known = catalog.service(name).with_context(|| format!("--service {name}: unknown"));
-            Some(known?.id)
+            let found = catalog.service(name).with_context(|| format!("--service {name}: unknown"));
+            Some(found?.id)
         }
     };
-    let chosen = catalog.upstreams.values().filter(|u| only.is_none_or(|id| u.service == id));
+    let chosen = catalog.upstreams.values().filter(|u| service_id.is_none_or(|id| u.service == id));
     let make = |node: &tgw_topology::catalog::Node| {
         let connect = Millis::new(sizes[usize::from(node.service.0)].connect_ms);
         Upstream::new(&catalog, node, connect, u64::from(node.id.0) + 1)
--- a/crates/tanagergw/src/status.rs
+++ b/crates/tanagergw/src/status.rs
@@ -1,20 +1,20 @@
-//! `tanagergw status` and `tanagergw explain`.
+//! The `tanagergw status` and `tanagergw explain` commands.
 
-use crate::access::{self, Platform, Vms, have};
+use crate::access::{self, Platform, Vms, try_access};
 use anyhow::Context;
 use std::{path::PathBuf, process::ExitCode};
-use tgw_operate::{explain, leaving, losses, status, story};
+use tgw_operate::{explain, leaving, losses, status, timeline};
 
-/// The VMs, the table in force in each failure domain, and the upstreams with owner and state.
+/// Show the VMs, the table's edition in force in each failure domain, and the upstreams with owner and state.
 #[derive(clap::Args)]
 pub(crate) struct Status {
     #[command(flatten)]
-    asked: Asked,
+    asked: Sources,
 }
 
-/// Whom to ask, and how to print.
+/// Options that select the VMs to query and the output format.
 #[derive(clap::Args)]
-struct Asked {
+struct Sources {
     #[command(flatten)]
     platform: Platform,
     #[command(flatten)]
@@ -24,62 +24,63 @@
     json: bool,
 }
 
-/// What the tier decided for one query, step by step.
+/// Explain the tier's decisions for one query step by step.
 #[derive(clap::Args)]
 pub(crate) struct Explain {
-    /// The query's identity, or the caller's own name for it.
+    /// The query's ID, or the caller's own ID of it.
     #[arg(required_unless_present_any = ["losses", "leaving"])]
     query: Option<String>,
-    /// Log files of VMs: the story is read from them, and no VM is asked.
+    /// Log files of VMs. The timeline is built from them, and no VM is queried.
     files: Vec<PathBuf>,
-    /// When the caller sent it, as the beginning of an RFC 3339 time: tells what the VMs did then if
-    /// none of them logged the request.
+    /// When the caller sent the request, as a prefix of an RFC 3339 time. If no VM logged the request, shows what
+    /// happened to the VMs around that time.
     #[arg(long)]
     at: Option<String>,
-    /// The VM that the caller was led to, if that is known; with --at.
+    /// The VM that the caller connected to, if known; with --at.
     #[arg(long, requires = "at")]
     vm: Option<String>,
-    /// Instead of one query, count from these log files where requests were lost.
+    /// Instead of explaining one query, count failed, refused, late and partial requests in these log files.
     #[arg(long, num_args = 1.., value_name = "FILE", conflicts_with = "query")]
     losses: Vec<PathBuf>,
-    /// With --losses, leave requests of this cause out, as `no route`. May be given again.
+    /// With --losses, do not count requests of this cause, such as `no route`. May be repeated.
     #[arg(long, value_name = "CAUSE", requires = "losses")]
     leave_out: Vec<String>,
-    /// Instead of one query, tell from these log files who learned when that the upstream of this identity leaves,
-    /// and who sent to it after that.
+    /// Instead of explaining one query, report from these log files when each VM learned that the upstream of this ID
+    /// leaves, and which VMs sent to it afterwards.
     #[arg(long, num_args = 2.., value_names = ["UPSTREAM", "FILE"], conflicts_with_all = ["query", "losses"])]
     leaving: Vec<String>,
     #[command(flatten)]
-    asked: Asked,
+    asked: Sources,
 }
 
 pub(crate) fn run(args: &Status) -> anyhow::Result<ExitCode> {
-    let access = have!(access::vms(&args.asked.platform, &args.asked.vms));
+    let access = try_access!(access::vm_access(&args.asked.platform, &args.asked.vms));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let fleet = runtime.block_on(status::fetch(&access));
     if args.asked.json {
         println!("{}", serde_json::to_string(&fleet)?);
     } else {
-        print!("{}", status::text(&fleet));
+        print!("{}", status::render(&fleet));
     }
-    let reached = !fleet.views.is_empty();
-    Ok(if reached { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    let any_answered = !fleet.views.is_empty();
+    Ok(if any_answered { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-/// Tells a request's story from log files.
-fn story(args: &Explain, query: &str) -> anyhow::Result<ExitCode> {
-    let asked = story::Asked { request: query, at: args.at.as_deref(), vm: args.vm.as_deref() };
-    let story = story::read(asked, &args.files).context("cannot read the logs")?;
+/// Prints a request's timeline from log files.
+fn print_timeline(args: &Explain, query: &str) -> anyhow::Result<ExitCode> {
+    let selector =
+        timeline::Selector { request: query, at: args.at.as_deref(), vm: args.vm.as_deref() };
+    let timeline = timeline::read(selector, &args.files).context("cannot read the logs")?;
     println!("what the VMs believed:");
-    story.before.iter().for_each(|line| println!("  {line}"));
+    timeline.context.iter().for_each(|line| println!("  {line}"));
     println!("what was decided:");
-    story.lines.iter().for_each(|line| println!("  {line}"));
-    println!("cause: {}", story.cause);
-    Ok(if story.lines.is_empty() { ExitCode::FAILURE } else { ExitCode::SUCCESS })
+    timeline.lines.iter().for_each(|line| println!("  {line}"));
+    println!("cause: {}", timeline.cause);
+    Ok(if timeline.lines.is_empty() { ExitCode::FAILURE } else { ExitCode::SUCCESS })
 }
 
-/// Counts where requests were lost.
-fn losses(args: &Explain) -> anyhow::Result<ExitCode> {
+/// Prints the count of failed, refused, late and partial requests.
+fn print_losses(args: &Explain) -> anyhow::Result<ExitCode> {
     let options = losses::Options { leave_out: args.leave_out.clone() };
     let losses = losses::read(&args.losses, &options).context("cannot read the logs")?;
     if args.asked.json {
@@ -90,40 +91,40 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Tells who learned when that an upstream leaves.
-fn leaving(args: &Explain, upstream: &str, files: &[String]) -> anyhow::Result<ExitCode> {
-    let leaving = leaving::read(upstream, files).context("cannot read the logs")?;
+/// Prints when each VM learned that an upstream leaves.
+fn print_leaving(args: &Explain, upstream: &str, files: &[String]) -> anyhow::Result<ExitCode> {
+    let report = leaving::read(upstream, files).context("cannot read the logs")?;
     if args.asked.json {
-        println!("{}", serde_json::to_string(&leaving)?);
+        println!("{}", serde_json::to_string(&report)?);
     } else {
-        print!("{leaving}");
+        print!("{report}");
     }
-    Ok(if leaving.vms.is_empty() { ExitCode::FAILURE } else { ExitCode::SUCCESS })
+    Ok(if report.vms.is_empty() { ExitCode::FAILURE } else { ExitCode::SUCCESS })
 }
 
 pub(crate) fn explain(args: &Explain) -> anyhow::Result<ExitCode> {
     if let Some((upstream, files)) = args.leaving.split_first() {
-        return leaving(args, upstream, files);
+        return print_leaving(args, upstream, files);
     }
     if !args.losses.is_empty() {
-        return losses(args);
+        return print_losses(args);
     }
     let query = args.query.as_deref().unwrap_or_default();
     if !args.files.is_empty() {
-        return story(args, query);
+        return print_timeline(args, query);
     }
-    let access = have!(access::vms(&args.asked.platform, &args.asked.vms));
+    let access = try_access!(access::vm_access(&args.asked.platform, &args.asked.vms));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let lines = runtime.block_on(explain::fetch(&access, query));
     if args.asked.json {
         println!("{}", serde_json::to_string(&lines)?);
     } else {
-        print!("{}", explain::text(&lines));
+        print!("{}", explain::render(&lines));
     }
     if lines.is_empty() {
         eprintln!(
-            "no decisions are kept for {query}: it is too old, was not sampled (settings log.sample), \
-             or went through a VM that was not asked (--operators)"
+            "no VM has decisions for {query}: the query is too old, was not sampled (settings log.sample), \
+             or went through a VM that was not queried (--operators)"
         );
         return Ok(ExitCode::FAILURE);
     }
--- a/crates/tanagergw/src/table.rs
+++ b/crates/tanagergw/src/table.rs
@@ -1,8 +1,8 @@
-//! `tanagergw table`.
+//! The `tanagergw table` command.
 
 use crate::{
-    access::{self, Platform, Vms, have},
-    settings::FINDINGS,
+    access::{self, Platform, Vms, try_access},
+    settings::EXIT_FINDINGS,
 };
 use anyhow::Context;
 use clap::Subcommand;
@@ -16,15 +16,16 @@
     table::{self, Refusal},
 };
 
-/// Exit code of a conflict with another edit.
-const CONFLICT: u8 = 3;
-/// Exit code when it could not be found out whether an edit was accepted.
-const UNKNOWN: u8 = 4;
-/// Exit code when an edition is not in force everywhere in time.
-const NOT_IN_FORCE: u8 = 5;
-const POLL: Duration = Duration::from_millis(100);
+/// Exit code if the table was edited after the edition that the file was made from.
+const EXIT_CONFLICT: u8 = 3;
+/// Exit code if it could not be determined whether an edit was accepted.
+const EXIT_UNKNOWN: u8 = 4;
+/// Exit code if an edition is not in force everywhere before the timeout.
+const EXIT_NOT_IN_FORCE: u8 = 5;
+/// Interval at which `table wait` queries the VMs.
+const POLL_INTERVAL_MS: Duration = Duration::from_millis(100);
 
-/// The operators' table, as CSV.
+/// Show, check, compare and change the operators' table as CSV.
 ///
 /// Exit codes: 0 done, 1 error, 2 findings, 3 conflict, 4 unknown, 5 not in force everywhere.
 #[derive(clap::Args)]
@@ -42,19 +43,19 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Print the table; its first line names the edition, which `apply` compares.
+    /// Print the table. Its first line names the edition, which `apply` compares with the current one.
     Show,
-    /// Print every finding with row and column.
+    /// Check a file, and print every finding with row and column.
     Check {
         /// The CSV file, or - for standard input.
         file: String,
     },
-    /// Print what a file would change.
+    /// Print the changes that a file would make.
     Diff {
         /// The CSV file, or - for standard input.
         file: String,
     },
-    /// Make a file the next edition, and print its number.
+    /// Write a file as the next edition, and print the edition's number.
     Apply {
         /// The CSV file, or - for standard input.
         file: String,
@@ -65,11 +66,11 @@
         #[arg(long)]
         json: bool,
     },
-    /// Return once an edition is in force at every live VM, or list where it is not.
+    /// Wait until an edition is in force at every live VM; after the timeout, list where it is not.
     Wait {
-        /// The edition.
+        /// The number of the edition.
         edition: u64,
-        /// Seconds to wait.
+        /// Timeout in seconds.
         #[arg(long, default_value_t = 12)]
         seconds: u64,
     },
@@ -78,74 +79,77 @@
 pub(crate) fn run(args: &Args) -> anyhow::Result<ExitCode> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     if let Command::Check { file } = &args.command {
-        return done(
-            table::check(&read(file)?).map(|t| println!("{} rows, no findings", t.rows.len())),
+        return exit_code(
+            table::check(&read_input(file)?)
+                .map(|t| println!("{} rows, no findings", t.rows.len())),
         );
     }
     if let Command::Wait { edition, seconds } = args.command {
-        let access = have!(access::vms(&args.platform, &args.vms));
+        let access = try_access!(access::vm_access(&args.platform, &args.vms));
         return runtime.block_on(wait(&access, edition, Duration::from_secs(seconds)));
     }
-    let store = have!(access::store(&args.platform));
+    let store = try_access!(access::open_store(&args.platform));
     match &args.command {
-        Command::Show => done(runtime.block_on(table::show(&store)).map(|text| print!("{text}"))),
+        Command::Show => {
+            exit_code(runtime.block_on(table::show(&store)).map(|text| print!("{text}")))
+        }
         Command::Diff { file } => {
-            let changes = runtime.block_on(table::difference(&store, &read(file)?));
-            done(changes.map(|changes| changes.iter().for_each(|c| println!("{c}"))))
+            let changes = runtime.block_on(table::difference(&store, &read_input(file)?));
+            exit_code(changes.map(|changes| changes.iter().for_each(|c| println!("{c}"))))
         }
         Command::Apply { file } => {
-            let applied = runtime.block_on(table::apply(&store, &read(file)?));
-            done(applied.map(|edit| println!("edition {edit}")))
+            let applied = runtime.block_on(table::apply(&store, &read_input(file)?));
+            exit_code(applied.map(|edition| println!("edition {edition}")))
         }
         Command::History { json } => {
             let history = runtime.block_on(table::history(&store));
-            done(history.map(|past| print_history(&past, *json)))
+            exit_code(history.map(|revisions| print_history(&revisions, *json)))
         }
         Command::Check { .. } | Command::Wait { .. } => Ok(ExitCode::SUCCESS),
     }
 }
 
-fn read(file: &str) -> anyhow::Result<String> {
+fn read_input(file: &str) -> anyhow::Result<String> {
     if file == "-" {
         let mut text = String::new();
         if io::stdin().is_terminal() {
-            eprintln!("reading the table from the terminal; end with Ctrl-D");
+            eprintln!("reading the table from the terminal; press Ctrl-D to end");
         }
-        io::stdin().read_to_string(&mut text).context("standard input")?;
+        io::stdin().read_to_string(&mut text).context("cannot read standard input")?;
         return Ok(text);
     }
     std::fs::read_to_string(file).with_context(|| format!("cannot read {file}"))
 }
 
-fn print_history(past: &[table::Past], json: bool) {
+fn print_history(revisions: &[table::Revision], json: bool) {
     if json {
-        println!("{}", serde_json::to_string(past).unwrap_or_default());
+        println!("{}", serde_json::to_string(revisions).unwrap_or_default());
         return;
     }
-    for edit in past {
-        println!("edition {} at {} (Unix seconds)", edit.edit, edit.at_s);
-        for change in &edit.changes {
+    for revision in revisions {
+        println!("edition {} at {} (Unix seconds)", revision.edition, revision.at_s);
+        for change in &revision.changes {
             println!("  {change}");
         }
     }
 }
 
-fn done(result: Result<(), Refusal>) -> anyhow::Result<ExitCode> {
+fn exit_code(result: Result<(), Refusal>) -> anyhow::Result<ExitCode> {
     let Err(refusal) = result else { return Ok(ExitCode::SUCCESS) };
     eprintln!("error: {refusal}");
     Ok(match refusal {
         Refusal::Findings(findings) => {
             findings.iter().for_each(|f| eprintln!("{f}"));
-            ExitCode::from(FINDINGS)
+            ExitCode::from(EXIT_FINDINGS)
         }
         Refusal::Conflict { rows, .. } => {
             rows.iter().for_each(|r| eprintln!("  {r}"));
-            eprintln!("take the table anew with `table show` and make the edit again");
-            ExitCode::from(CONFLICT)
+            eprintln!("get the current table with `table show` and repeat the edit on it");
+            ExitCode::from(EXIT_CONFLICT)
         }
         Refusal::Unknown { .. } => {
-            eprintln!("look with `table history` once the platform answers");
-            ExitCode::from(UNKNOWN)
+            eprintln!("check with `table history` once the platform is available");
+            ExitCode::from(EXIT_UNKNOWN)
         }
         Refusal::Unavailable { .. } => ExitCode::FAILURE,
     })
@@ -154,24 +158,24 @@
 async fn wait(
     access: &tgw_operate::Access,
     edition: u64,
-    limit: Duration,
+    timeout: Duration,
 ) -> anyhow::Result<ExitCode> {
-    let until = Instant::now() + limit;
+    let deadline = Instant::now() + timeout;
     loop {
         let fleet = status::fetch(access).await;
-        let late: Vec<String> = match fleet.views.first() {
+        let outdated: Vec<String> = match fleet.views.first() {
             Some(view) => status::not_in_force(view, edition),
-            None => fleet.silent.clone(),
+            None => fleet.unresponsive.clone(),
         };
-        if late.is_empty() {
+        if outdated.is_empty() {
             println!("edition {edition} is in force everywhere");
             return Ok(ExitCode::SUCCESS);
         }
-        if Instant::now() >= until {
+        if Instant::now() >= deadline {
             eprintln!("error: edition {edition} is not in force everywhere:");
-            late.iter().for_each(|l| eprintln!("  {l}"));
-            return Ok(ExitCode::from(NOT_IN_FORCE));
+            outdated.iter().for_each(|l| eprintln!("  {l}"));
+            return Ok(ExitCode::from(EXIT_NOT_IN_FORCE));
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL_MS).await;
     }
 }
--- a/crates/tanagergw/tests/serve.rs
+++ b/crates/tanagergw/tests/serve.rs
@@ -1,6 +1,6 @@
-//! Tests of the binary as an operator runs it.
+//! Tests of the tanagergw binary, run as a child process.
 
-#![allow(clippy::expect_used, clippy::unwrap_used, clippy::panic)] // A test fails by panic.
+#![allow(clippy::expect_used, clippy::unwrap_used, clippy::panic)] // Tests fail by panicking.
 
 use std::{
     io::{BufRead, BufReader},
@@ -13,10 +13,11 @@
 use tgw_standin::size::{Spread, User};
 
 const BINARY: &str = env!("CARGO_BIN_EXE_tanagergw");
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Limit for each wait of a test.
+const TEST_TIMEOUT_S: Duration = Duration::from_secs(60);
 
-/// Stand-ins only: platform and upstreams, no VM.
-fn stand_ins() -> Fleet {
+/// Starts the stand-in platform and upstreams without any VM.
+fn start_stand_ins() -> Fleet {
     Fleet::open(Size {
         user: User::Aspen,
         vms: 0,
@@ -29,7 +30,8 @@
     .expect("stand-ins")
 }
 
-fn settings(platform: SocketAddr) -> PathBuf {
+/// Writes a settings file for this platform, in which all listeners get free ports.
+fn write_settings(platform: SocketAddr) -> PathBuf {
     let example = include_str!("../../../examples/tanagergw.ini");
     let mut text = example.replace("127.0.0.1:7900", &platform.to_string());
     for port in ["7800", "7801", "7802"] {
@@ -40,8 +42,8 @@
     path
 }
 
-/// Starts `serve` and reads from its log where it serves callers.
-fn serve(settings: &PathBuf) -> (Child, SocketAddr) {
+/// Starts `serve` and returns the process and its callers address, which is read from its log.
+fn start_serve(settings: &PathBuf) -> (Child, SocketAddr) {
     let mut child = Command::new(BINARY)
         .args(["serve", "--settings"])
         .arg(settings)
@@ -49,17 +51,17 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the process starts");
-    let mut log = BufReader::new(child.stderr.take().expect("its log"));
+    let mut log = BufReader::new(child.stderr.take().expect("the log of serve"));
     let mut line = String::new();
     let addr = loop {
         line.clear();
-        assert!(log.read_line(&mut line).expect("its log") > 0, "it ended early");
+        assert!(log.read_line(&mut line).expect("the log of serve") > 0, "serve ended early");
         if let Some((_, rest)) = line.split_once("callers=") {
             let text = rest.split_whitespace().next().expect("an address");
             break text.parse().expect("an address");
         }
     };
-    // Its log must go on being read, or the process stops at a full pipe.
+    // Keep reading the log: the process would block on a full pipe.
     std::thread::spawn(move || log.lines().for_each(drop));
     (child, addr)
 }
@@ -67,38 +69,38 @@
 async fn search(client: Client, addr: SocketAddr, number: u32) -> (u16, serde_json::Value) {
     let body = format!("{{\"n\":{number}}}").into_bytes().into();
     let path = "/v1/publican-panel/search";
-    let called = client.call(hyper::Method::POST, addr, path, &[], body, PATIENCE).await;
-    let (status, body) = called.expect("no request may be cut");
+    let called = client.call(hyper::Method::POST, addr, path, &[], body, TEST_TIMEOUT_S).await;
+    let (status, body) = called.expect("the connection must not break");
     (status.as_u16(), serde_json::from_slice(&body).expect("an answer"))
 }
 
-// A VM is replaced while a hundred searches run, and their callers see broken connections.
+// Guards against broken connections for callers when a VM is replaced while a hundred of their searches run.
 #[test]
-fn sigterm_cuts_no_running_search_and_ends_with_zero() {
+fn sigterm_breaks_no_running_search_and_exits_with_zero() {
     const SEARCHES: u32 = 100;
-    let fleet = stand_ins();
-    // A slow machine must not turn a cut request into a missed deadline, or the other way round.
+    let fleet = start_stand_ins();
+    // The long deadline keeps a slow machine from turning a broken request into a missed deadline or the reverse.
     let mut table = User::Aspen.table();
     table.rows.values_mut().for_each(|row| row.deadline_ms = 60_000);
     let value = serde_json::to_value(&table).expect("a table");
     fleet.platform.write("table", "main", value);
-    let settings = settings(fleet.platform_addr);
-    let (mut child, addr) = serve(&settings);
+    let settings = write_settings(fleet.platform_addr);
+    let (mut child, addr) = start_serve(&settings);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     runtime.expect("a runtime").block_on(async {
         let client = Client::default();
-        let until = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + TEST_TIMEOUT_S;
         while search(client.clone(), addr, 0).await.0 != 200 {
-            assert!(Instant::now() < until, "it never took queries");
+            assert!(Instant::now() < deadline, "serve did not become ready for queries");
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
         fleet.upstreams.iter().for_each(|u| u.set(|k| k.median_ms = 40.0));
-        let begun = || fleet.upstreams.iter().map(|u| u.journal().searches).sum::<u64>();
-        let before = begun();
+        let started = || fleet.upstreams.iter().map(|u| u.journal().searches).sum::<u64>();
+        let before = started();
         let running: Vec<_> =
             (0..SEARCHES).map(|n| tokio::spawn(search(client.clone(), addr, n))).collect();
-        while begun() < before + 20 {
-            assert!(Instant::now() < until, "the searches never began");
+        while started() < before + 20 {
+            assert!(Instant::now() < deadline, "the searches did not start");
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         let signalled = Command::new("kill").args(["-TERM", &child.id().to_string()]).status();
@@ -109,13 +111,13 @@
             assert_eq!(answer["coverage"]["missing"], serde_json::json!([]), "{answer}");
         }
     });
-    assert!(child.wait().expect("it ends").success(), "it ends with zero");
+    assert!(child.wait().expect("serve exits").success(), "serve must exit with zero");
     let _ = std::fs::remove_file(settings);
     fleet.close();
 }
 
 #[test]
-fn wrong_settings_end_with_two_and_every_finding() {
+fn invalid_settings_exit_with_two_and_print_every_finding() {
     let path = std::env::temp_dir().join(format!("tanagergw-wrong-{}.ini", std::process::id()));
     std::fs::write(&path, "[vm]\nname = a\nregion = x\nplace = 1\n").expect("a file");
     let output =
@@ -131,7 +133,7 @@
 }
 
 #[test]
-fn experiments_give_the_same_figures_for_the_same_seed() {
+fn bench_gives_the_same_figures_for_the_same_seed() {
     let run = || {
         let args = [
             "bench",
--- a/crates/tgw-operate/src/call.rs
+++ b/crates/tgw-operate/src/call.rs
@@ -8,31 +8,32 @@
 use serde::de::DeserializeOwned;
 use std::{net::SocketAddr, time::Duration};
 
-const LIMIT: Duration = Duration::from_secs(5);
+/// Limit for one call, from connecting to the last byte of the response.
+const CALL_TIMEOUT_S: Duration = Duration::from_secs(5);
 
-/// How VMs' operators' interfaces are reached.
+/// Addresses and token of the operator APIs of VMs.
 #[derive(Clone, Debug)]
 pub struct Access {
-    /// The VMs' addresses for operators.
+    /// Operator API address of each VM.
     pub addrs: Vec<SocketAddr>,
-    /// The operators' token.
+    /// Bearer token for the operator APIs.
     pub token: String,
 }
 
 impl Access {
-    /// Reads JSON from one VM.
+    /// Fetches `path` from one VM and decodes the JSON body.
     pub(crate) async fn get<T: DeserializeOwned>(
         &self,
         addr: SocketAddr,
         path: &str,
     ) -> anyhow::Result<T> {
         let (status, body) = call(addr, Method::GET, path, Some(&self.token)).await?;
-        anyhow::ensure!(status != StatusCode::UNAUTHORIZED, "{addr}: the token is refused");
-        read(addr, status, &body)
+        anyhow::ensure!(status != StatusCode::UNAUTHORIZED, "{addr}: token rejected");
+        decode(addr, status, &body)
     }
 }
 
-/// Calls one VM. Errors: it cannot be reached, or gives no answer in time.
+/// Sends one request to a VM. Errors: the exchange fails, or exceeds the timeout.
 pub(crate) async fn call(
     addr: SocketAddr,
     method: Method,
@@ -52,18 +53,18 @@
         let body = response.into_body().collect().await?.to_bytes();
         anyhow::Ok((status, body))
     };
-    tokio::time::timeout(LIMIT, exchange)
+    tokio::time::timeout(CALL_TIMEOUT_S, exchange)
         .await
-        .with_context(|| format!("{addr}: no answer within {LIMIT:?}"))?
-        .with_context(|| format!("{addr}: cannot be reached"))
+        .with_context(|| format!("{addr}: no response within {CALL_TIMEOUT_S:?}"))?
+        .with_context(|| format!("{addr}: request failed"))
 }
 
-/// Reads the JSON of an answer. Errors: it is no success, or cannot be read.
-pub(crate) fn read<T: DeserializeOwned>(
+/// Decodes the JSON body of a response. Errors: the status is not a success, or the body cannot be decoded.
+pub(crate) fn decode<T: DeserializeOwned>(
     addr: SocketAddr,
     status: StatusCode,
     body: &[u8],
 ) -> anyhow::Result<T> {
-    anyhow::ensure!(status.is_success(), "{addr}: status {status}");
-    serde_json::from_slice(body).with_context(|| format!("{addr}: unreadable answer"))
+    anyhow::ensure!(status.is_success(), "{addr}: unexpected status {status}");
+    serde_json::from_slice(body).with_context(|| format!("{addr}: cannot decode response"))
 }
--- a/crates/tgw-operate/src/explain.rs
+++ b/crates/tgw-operate/src/explain.rs
@@ -1,26 +1,26 @@
-//! What one query's decisions were.
+//! Logged decisions of one query, fetched from VMs.
 
 use crate::Access;
 use std::fmt::Write;
 use tgw_serve::status::Line;
 
-/// Asks all VMs for their decisions about a query; those of its entry first.
+/// Fetches the decisions about a query from all VMs. VMs that do not answer are skipped.
 pub async fn fetch(access: &Access, query: &str) -> Vec<Line> {
     let mut lines: Vec<Line> = Vec::new();
-    // A caller's own name for a query is known at its entry only; the owners know its identity.
-    let mut identity = query.to_owned();
+    // Only the entry VM knows the caller's own ID of a query; group owners know the internal query ID.
+    let mut query_id = query.to_owned();
     for addr in &access.addrs {
         let path = format!("/admin/explain/{query}");
         if let Ok(found) = access.get::<Vec<Line>>(*addr, &path).await {
             if let Some(line) = found.iter().find(|l| l.part == "entry") {
-                identity.clone_from(&line.query);
+                query_id.clone_from(&line.query);
             }
             lines.extend(found);
         }
     }
-    if identity != query {
+    if query_id != query {
         for addr in &access.addrs {
-            let path = format!("/admin/explain/{identity}");
+            let path = format!("/admin/explain/{query_id}");
             if let Ok(found) = access.get::<Vec<Line>>(*addr, &path).await {
                 lines.extend(found.into_iter().filter(|l| l.part != "entry"));
             }
@@ -29,8 +29,8 @@
     lines
 }
 
-/// The decisions as a person would tell them.
-pub fn text(lines: &[Line]) -> String {
+/// Formats the decisions for people: VM by VM, the entry VM first, with times relative to the VM's first line.
+pub fn render(lines: &[Line]) -> String {
     let mut out = String::new();
     let mut vms: Vec<&str> = Vec::new();
     let entry_first = lines.iter().filter(|l| l.part == "entry").chain(lines);
--- a/crates/tgw-operate/src/leaving.rs
+++ b/crates/tgw-operate/src/leaving.rs
@@ -1,6 +1,6 @@
-//! Who learned when that an upstream leaves, and who sent to it after that, told from log files.
+//! When each VM learned that an upstream leaves, and which VMs sent to it afterwards, from log files.
 
-use crate::log::{self, Line, seconds};
+use crate::log::{self, Line, seconds_of_day};
 use serde::Serialize;
 use std::{
     collections::BTreeMap,
@@ -9,77 +9,89 @@
     path::Path,
 };
 
-/// The message of a VM that keeps an upstream whose entry is missing, and of the end of that.
-const DOUBTED: &str = "upstream doubted";
-const DOUBTED_NO_MORE: &str = "upstream doubted no more";
-/// The message of a send to such an upstream.
-const SENT: &str = "send to a doubted upstream";
+/// Message of a VM that retains an upstream whose entry is missing from the store.
+const RETAINED_MESSAGE: &str = "upstream doubted";
+/// Message of a VM that stops retaining such an upstream.
+const RETENTION_ENDED_MESSAGE: &str = "upstream doubted no more";
+/// Message of a send to a retained upstream.
+const RETAINED_SEND_MESSAGE: &str = "send to a doubted upstream";
 
-/// What one VM knew of the leaving.
+/// When one VM learned that the upstream leaves, and what it sent there afterwards.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Knowledge {
-    /// When it heard that the upstream leaves or is gone, as an RFC 3339 time.
-    pub heard: String,
-    /// Of whom: the store, or the address of a peer.
+pub struct Observation {
+    /// When the VM learned that the upstream leaves or was removed, as an RFC 3339 time.
+    #[serde(rename = "heard")]
+    pub learned_at: String,
+    /// Source of the update: the store, or the address of a peer.
     pub from: String,
-    /// Time in ms since the first VM heard of it.
+    /// Delay in ms after the first VM that learned of it.
     pub after_ms: u64,
-    /// It kept the upstream though its entry was missing: until when, or nothing if that did not end.
-    pub doubted: Option<String>,
-    /// How late that ended, in ms.
+    /// End of the time for which the VM retained the upstream although its entry was missing; empty if the
+    /// logs show no end, `None` if it was not retained.
+    #[serde(rename = "doubted")]
+    pub retained_until: Option<String>,
+    /// How long the upstream was retained beyond its retention period, in ms.
     pub late_ms: u64,
-    /// Requests that it sent there meanwhile, with the time in ms for which it had known.
-    pub sent: Vec<(String, u64)>,
+    /// Requests sent to the retained upstream, each with the ms since the VM learned that it leaves.
+    #[serde(rename = "sent")]
+    pub sends: Vec<(String, u64)>,
 }
 
-/// Who learned when that an upstream leaves.
+/// When the VMs learned that an upstream leaves.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Leaving {
-    /// By VM.
-    pub vms: BTreeMap<String, Knowledge>,
-    /// VMs that are named in the logs and did not hear of it.
+pub struct Report {
+    /// VMs that learned of it, by name.
+    pub vms: BTreeMap<String, Observation>,
+    /// VMs with log lines, none of which says that the upstream leaves.
     pub unaware: Vec<String>,
 }
 
-/// Reads the logs of VMs and tells who learned when that an upstream leaves.
+/// Reads the logs of VMs and reports when each learned that an upstream leaves.
 /// Errors: a file cannot be read.
-pub fn read(upstream: &str, files: &[impl AsRef<Path>]) -> io::Result<Leaving> {
-    Ok(tell(upstream, &log::read(files)?))
+pub fn read(upstream: &str, files: &[impl AsRef<Path>]) -> io::Result<Report> {
+    Ok(build(upstream, &log::read(files)?))
 }
 
-fn tell(upstream: &str, lines: &[Line]) -> Leaving {
-    let mut leaving = Leaving::default();
+fn build(upstream: &str, lines: &[Line]) -> Report {
+    let mut report = Report::default();
     for line in lines.iter().filter(|l| l.text("upstream") == upstream) {
-        let known = leaving.vms.get(&line.vm).cloned();
-        let Some(mut known) = known.or_else(|| first(line)) else { continue };
+        let observation = report.vms.get(&line.vm).cloned();
+        let Some(mut observation) = observation.or_else(|| first_observation(line)) else {
+            continue;
+        };
         match line.message() {
-            DOUBTED => known.doubted = Some(String::new()),
-            DOUBTED_NO_MORE => {
-                known.doubted = Some(line.at().into());
-                known.late_ms = line.number("late_ms");
+            RETAINED_MESSAGE => observation.retained_until = Some(String::new()),
+            RETENTION_ENDED_MESSAGE => {
+                observation.retained_until = Some(line.timestamp().into());
+                observation.late_ms = line.number("late_ms");
+            }
+            RETAINED_SEND_MESSAGE => {
+                observation.sends.push((line.text("request").into(), line.number("known_ms")));
             }
-            SENT => known.sent.push((line.text("request").into(), line.number("known_ms"))),
             _ => {}
         }
-        leaving.vms.insert(line.vm.clone(), known);
+        report.vms.insert(line.vm.clone(), observation);
     }
-    let earliest = leaving.vms.values().filter_map(|k| seconds(&k.heard)).reduce(f64::min);
-    for known in leaving.vms.values_mut() {
-        let after = seconds(&known.heard).zip(earliest).map_or(0.0, |(heard, first)| heard - first);
-        known.after_ms = (after * 1_000.0).round() as u64;
+    let earliest =
+        report.vms.values().filter_map(|o| seconds_of_day(&o.learned_at)).reduce(f64::min);
+    for observation in report.vms.values_mut() {
+        let after = seconds_of_day(&observation.learned_at)
+            .zip(earliest)
+            .map_or(0.0, |(learned, first)| learned - first);
+        observation.after_ms = (after * 1_000.0).round() as u64;
     }
-    let mut vms: Vec<String> = lines.iter().map(|l| l.vm.clone()).collect();
-    vms.sort();
-    vms.dedup();
-    vms.retain(|vm| !leaving.vms.contains_key(vm));
-    leaving.unaware = vms;
-    leaving
+    let mut unaware: Vec<String> = lines.iter().map(|l| l.vm.clone()).collect();
+    unaware.sort();
+    unaware.dedup();
+    unaware.retain(|vm| !report.vms.contains_key(vm));
+    report.unaware = unaware;
+    report
 }
 
-/// What a VM knows by the first line that says that the upstream leaves.
-fn first(line: &Line) -> Option<Knowledge> {
+/// The observation that a line starts if it says that the upstream leaves; `None` for other lines.
+fn first_observation(line: &Line) -> Option<Observation> {
     let leaves = match line.message() {
-        "upstream removed" | DOUBTED => true,
+        "upstream removed" | RETAINED_MESSAGE => true,
         "upstream changed" => line.flag("draining"),
         _ => false,
     };
@@ -87,20 +99,25 @@
         "" => "the store",
         peer => peer,
     };
-    leaves.then(|| Knowledge { heard: line.at().into(), from: from.into(), ..Knowledge::default() })
+    leaves.then(|| Observation {
+        learned_at: line.timestamp().into(),
+        from: from.into(),
+        ..Observation::default()
+    })
 }
 
-impl Display for Leaving {
+impl Display for Report {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        for (vm, known) in &self.vms {
-            let Knowledge { heard, from, after_ms, doubted, late_ms, sent } = known;
-            writeln!(f, "{vm:<24} heard {heard} from {from}, {after_ms} ms after the first")?;
-            match doubted.as_deref() {
+        for (vm, observation) in &self.vms {
+            let Observation { learned_at, from, after_ms, retained_until, late_ms, sends } =
+                observation;
+            writeln!(f, "{vm:<24} heard {learned_at} from {from}, {after_ms} ms after the first")?;
+            match retained_until.as_deref() {
                 None => {}
                 Some("") => writeln!(f, "{:<24} keeps it though its entry is missing", "")?,
                 Some(at) => writeln!(f, "{:<24} kept it until {at}, {late_ms} ms too long", "")?,
             }
-            for (request, known_ms) in sent {
+            for (request, known_ms) in sends {
                 writeln!(f, "{:<24} sent {request} there, {known_ms} ms after it had heard", "")?;
             }
         }
--- a/crates/tgw-operate/src/lib.rs
+++ b/crates/tgw-operate/src/lib.rs
@@ -1,22 +1,22 @@
-//! What operators do: edit the table, see the fleet, ask why a query went as it did.
+//! Operator commands: edit the table, show the fleet's status, and explain how a query was handled.
 
-/// Calls of the VMs' operators' interface.
+/// HTTP calls to the operator APIs of VMs.
 mod call;
-/// What one query's decisions were.
+/// Logged decisions of one query, fetched from VMs.
 pub mod explain;
-/// Who learned when that an upstream leaves.
+/// When each VM learned that an upstream leaves.
 pub mod leaving;
-/// Lines of log files.
+/// Parsed lines of VMs' log files.
 mod log;
-/// Where requests were lost, counted from log files.
+/// Failed, refused, late and partial requests, counted from log files.
 pub mod losses;
-/// Requests that a gateway holds back.
+/// Requests that a gateway quarantines.
 pub mod quarantine;
-/// The fleet as its VMs see it.
+/// Status of the fleet as its VMs report it.
 pub mod status;
-/// One request's story, told from log files.
-pub mod story;
 /// Edits of the table.
 pub mod table;
+/// Timeline of one request, built from log files.
+pub mod timeline;
 
 pub use call::Access;
--- a/crates/tgw-operate/src/log.rs
+++ b/crates/tgw-operate/src/log.rs
@@ -1,4 +1,4 @@
-//! Lines of VMs' log files.
+//! Parsed lines of VMs' log files.
 
 use serde_json::{Map, Value};
 use std::{
@@ -8,10 +8,10 @@
     path::Path,
 };
 
-/// Fields that are not told again with a line's message.
-const PLAIN: [&str; 5] = ["timestamp", "level", "message", "target", "request"];
+/// Fields that a rendered line does not list as `name=value`.
+const OMITTED_FIELDS: [&str; 5] = ["timestamp", "level", "message", "target", "request"];
 
-/// One line of a log.
+/// One parsed line of a log.
 #[derive(Clone, Debug)]
 pub(crate) struct Line {
     pub(crate) vm: String,
@@ -31,8 +31,8 @@
         self.fields.get(name).and_then(Value::as_bool).unwrap_or_default()
     }
 
-    /// Whether the words of a field hold `word`.
-    pub(crate) fn lists(&self, name: &str, word: &str) -> bool {
+    /// Whether `word` is one of the space-separated words of a field.
+    pub(crate) fn has_word(&self, name: &str, word: &str) -> bool {
         self.text(name).split(' ').any(|w| w == word)
     }
 
@@ -40,14 +40,14 @@
         self.text("message")
     }
 
-    pub(crate) fn at(&self) -> &str {
+    pub(crate) fn timestamp(&self) -> &str {
         self.text("timestamp")
     }
 
-    pub(crate) fn told(&self) -> String {
-        let mut out = format!("{} {:<22} {}", self.at(), self.vm, self.message());
+    pub(crate) fn render(&self) -> String {
+        let mut out = format!("{} {:<22} {}", self.timestamp(), self.vm, self.message());
         for (name, value) in &self.fields {
-            if PLAIN.contains(&name.as_str()) {
+            if OMITTED_FIELDS.contains(&name.as_str()) {
                 continue;
             }
             let _ = match value.as_str() {
@@ -59,14 +59,14 @@
     }
 }
 
-/// Reads the logs of VMs, in the order of time. Text before a line's JSON is passed over, as is a line
-/// without. Errors: a file cannot be read.
+/// Reads the logs of VMs, sorted by timestamp. Text before a line's JSON object is skipped, and so are
+/// lines without one. Errors: a file cannot be read.
 pub(crate) fn read(files: &[impl AsRef<Path>]) -> io::Result<Vec<Line>> {
     let mut lines = Vec::new();
     for file in files {
         read_file(file.as_ref(), &mut lines)?;
     }
-    lines.sort_by(|a, b| a.at().cmp(b.at()));
+    lines.sort_by(|a, b| a.timestamp().cmp(b.timestamp()));
     Ok(lines)
 }
 
@@ -77,7 +77,8 @@
         let text = text?;
         let Some(start) = text.find('{') else { continue };
         let Ok(Value::Object(fields)) = serde_json::from_str(&text[start..]) else { continue };
-        // Collectors put the VM's name before the line; a VM's own file names it at its start.
+        // Log collectors prefix each line with the VM's name; a VM's own log file has it in a `vm` field at
+        // the start, which holds for the lines that follow.
         if let Some(name) = text[..start].split_whitespace().last() {
             name.clone_into(&mut vm);
         } else if let Some(name) = fields.get("vm").and_then(Value::as_str) {
@@ -88,8 +89,8 @@
     Ok(())
 }
 
-/// The second of the day of an RFC 3339 time.
-pub(crate) fn seconds(time: &str) -> Option<f64> {
+/// Seconds since midnight of an RFC 3339 time.
+pub(crate) fn seconds_of_day(time: &str) -> Option<f64> {
     let (_, clock) = time.trim_end_matches('Z').split_once('T')?;
     clock.split(':').try_fold(0.0, |sum, part| Some(sum * 60.0 + part.parse::<f64>().ok()?))
 }
--- a/crates/tgw-operate/src/losses.rs
+++ b/crates/tgw-operate/src/losses.rs
@@ -1,6 +1,6 @@
-//! Where requests were lost, counted from the log files of VMs.
+//! Failed, refused, late and partial requests, counted from the log files of VMs.
 
-use crate::log::{self, Line, seconds};
+use crate::log::{self, Line, seconds_of_day};
 use serde::Serialize;
 use std::{
     collections::{BTreeMap, HashMap},
@@ -9,26 +9,26 @@
     path::Path,
 };
 
-/// Length of a window, in s: callers' worst windows are judged by as much.
+/// Length of a window in s, the same as that of the windows in which callers measure their worst results.
 const WINDOW_S: f64 = 2.0;
-/// Rows of a table that are printed.
-const ROWS: usize = 12;
+/// Most rows that are printed of each table.
+const MAX_PRINTED_ROWS: usize = 12;
 
-/// Requests by what became of them.
+/// Number of requests by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Count {
-    /// Failed, timed out, or given up by their callers.
+    /// Failed, timed out, or abandoned by their callers.
     pub failed: u64,
-    /// Refused unrun.
+    /// Refused without being run.
     pub refused: u64,
-    /// Answered after the route's aim.
+    /// Answered after the route's target latency.
     pub late: u64,
-    /// Answered in time without some parts.
+    /// Answered in time, but with parts missing.
     pub partial: u64,
 }
 
 impl Count {
-    fn all(&self) -> u64 {
+    fn total(&self) -> u64 {
         self.failed + self.refused + self.late + self.partial
     }
 
@@ -42,23 +42,23 @@
     }
 }
 
-/// Requests that were not served as they should be, counted by one matter each. A request counts once for
-/// each service and each upstream that failed it.
+/// Requests that were not answered completely and in time, counted by several categories. A request counts
+/// once for each service and each upstream that failed it.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Losses {
-    /// All of them.
+    /// All such requests.
     pub all: Count,
-    /// By the cause that their answer names.
+    /// By the cause that the request's log line gives.
     pub causes: BTreeMap<String, Count>,
-    /// By the second of the day at which a window of two begins.
+    /// By two-second window, keyed by the second of the day at which it begins.
     pub windows: BTreeMap<u64, Count>,
     /// By service with a send that failed or was withheld.
     pub services: BTreeMap<String, Count>,
-    /// By upstream with a send that failed, and how.
+    /// By upstream with a send that failed, and the result of that send.
     pub upstreams: BTreeMap<String, Count>,
-    /// By why a further send was withheld.
+    /// By kind of a further send that was withheld, and the reason.
     pub withheld: BTreeMap<String, Count>,
-    /// Log lines that VMs left out: the tables count too few where this is not zero.
+    /// Log lines that VMs dropped. The counts are too low where this is not zero.
     pub left_out: u64,
 }
 
@@ -70,15 +70,15 @@
     Partial,
 }
 
-/// What is counted.
+/// Which requests are counted.
 #[derive(Clone, Debug, Default)]
 pub struct Options {
-    /// Causes whose requests are left out, as `no route` of those that only try which configuration is in force:
-    /// of 9,620 requests not served as they should be on a day of 295 VMs these were 6,843.
+    /// Causes whose requests are not counted, such as `no route` of requests that only probe which configuration
+    /// is in force: over a day of 295 VMs these were 6,843 of 9,620 requests counted here.
     pub leave_out: Vec<String>,
 }
 
-/// Counts what the logs of VMs tell. Errors: a file cannot be read.
+/// Reads the logs of VMs and counts the requests. Errors: a file cannot be read.
 pub fn read(files: &[impl AsRef<Path>], options: &Options) -> io::Result<Losses> {
     let lines = log::read(files)?;
     let mut losses = Losses::default();
@@ -88,7 +88,7 @@
             "request" => {
                 let left_out = options.leave_out.iter().any(|cause| cause == line.text("cause"));
                 if let Some(outcome) = outcome(line).filter(|_| !left_out) {
-                    losses.request(line, outcome);
+                    losses.count_request(line, outcome);
                     lost.insert(line.text("request"), outcome);
                 }
             }
@@ -96,11 +96,11 @@
             _ => {}
         }
     }
-    losses.sends(&lines, &lost);
+    losses.count_sends(&lines, &lost);
     Ok(losses)
 }
 
-/// What was wrong with an answer; `None` for a whole one in time.
+/// The outcome of a request that was not answered completely and in time; `None` if it was.
 fn outcome(line: &Line) -> Option<Outcome> {
     match line.text("outcome") {
         "refused" => Some(Outcome::Refused),
@@ -114,28 +114,28 @@
 }
 
 impl Losses {
-    fn request(&mut self, line: &Line, outcome: Outcome) {
+    fn count_request(&mut self, line: &Line, outcome: Outcome) {
         self.all.add(outcome);
         let cause = match line.text("cause") {
             "" => line.text("outcome"),
             cause => cause,
         };
         self.causes.entry(cause.into()).or_default().add(outcome);
-        if let Some(second) = seconds(line.at()) {
+        if let Some(second) = seconds_of_day(line.timestamp()) {
             let window = (second / WINDOW_S).floor() * WINDOW_S;
             self.windows.entry(window as u64).or_default().add(outcome);
         }
     }
 
-    fn sends(&mut self, lines: &[Line], lost: &HashMap<&str, Outcome>) {
-        // A request that fails in the same way again and again counts once.
+    fn count_sends(&mut self, lines: &[Line], lost: &HashMap<&str, Outcome>) {
+        // A request that fails in the same way several times counts once.
         let mut seen = std::collections::BTreeSet::new();
         for line in lines {
             let Some(outcome) = lost.get(line.text("request")).copied() else { continue };
             let (table, name) = match line.message() {
                 "send ended" => {
-                    let how = format!("{} {}", line.text("upstream"), line.text("result"));
-                    (&mut self.upstreams, how)
+                    let result = format!("{} {}", line.text("upstream"), line.text("result"));
+                    (&mut self.upstreams, result)
                 }
                 "send withheld" => {
                     (&mut self.withheld, format!("{}: {}", line.text("why"), line.text("reason")))
@@ -159,41 +159,41 @@
         if self.left_out > 0 {
             writeln!(f, "{} log lines were left out: these tables count too few", self.left_out)?;
         }
-        header(f, "requests not served as they should be")?;
-        row(f, "all", &self.all)?;
+        write_header(f, "requests not served as they should be")?;
+        write_row(f, "all", &self.all)?;
         let windows: Vec<(String, Count)> =
-            self.windows.iter().map(|(at, count)| (clock(*at), *count)).collect();
+            self.windows.iter().map(|(at, count)| (format_clock(*at), *count)).collect();
         for (title, rows) in [
-            ("cause", most(&self.causes)),
+            ("cause", top_rows(&self.causes)),
             ("window of two seconds", windows),
-            ("service with a failed or withheld send", most(&self.services)),
-            ("upstream and how a send to it ended", most(&self.upstreams)),
-            ("further send withheld", most(&self.withheld)),
+            ("service with a failed or withheld send", top_rows(&self.services)),
+            ("upstream and how a send to it ended", top_rows(&self.upstreams)),
+            ("further send withheld", top_rows(&self.withheld)),
         ] {
-            header(f, title)?;
-            rows.iter().try_for_each(|(name, count)| row(f, name, count))?;
+            write_header(f, title)?;
+            rows.iter().try_for_each(|(name, count)| write_row(f, name, count))?;
         }
         Ok(())
     }
 }
 
-/// The rows with most requests, the first first.
-fn most(table: &BTreeMap<String, Count>) -> Vec<(String, Count)> {
+/// The rows with most requests, in descending order.
+fn top_rows(table: &BTreeMap<String, Count>) -> Vec<(String, Count)> {
     let mut rows: Vec<(String, Count)> = table.iter().map(|(n, c)| (n.clone(), *c)).collect();
-    rows.sort_by_key(|(_, count)| std::cmp::Reverse(count.all()));
-    rows.truncate(ROWS);
+    rows.sort_by_key(|(_, count)| std::cmp::Reverse(count.total()));
+    rows.truncate(MAX_PRINTED_ROWS);
     rows
 }
 
-fn clock(second: u64) -> String {
+fn format_clock(second: u64) -> String {
     format!("{:02}:{:02}:{:02}", second / 3600, second / 60 % 60, second % 60)
 }
 
-fn header(f: &mut Formatter<'_>, title: &str) -> fmt::Result {
+fn write_header(f: &mut Formatter<'_>, title: &str) -> fmt::Result {
     writeln!(f, "\n{title:<44} {:>7} {:>7} {:>7} {:>7}", "failed", "refused", "late", "partial")
 }
 
-fn row(f: &mut Formatter<'_>, name: &str, count: &Count) -> fmt::Result {
+fn write_row(f: &mut Formatter<'_>, name: &str, count: &Count) -> fmt::Result {
     let Count { failed, refused, late, partial } = count;
     writeln!(f, "{name:<44} {failed:>7} {refused:>7} {late:>7} {partial:>7}")
 }
--- a/crates/tgw-operate/src/status.rs
+++ b/crates/tgw-operate/src/status.rs
@@ -1,64 +1,66 @@
-//! The fleet as its VMs see it.
+//! Status of the fleet as its VMs report it.
 
 use crate::Access;
 use serde::Serialize;
 use std::fmt::Write;
 use tgw_serve::Status;
 
-/// What the VMs that were asked tell, and which did not answer.
+/// Status reports of the VMs that answered, and errors of those that did not.
 #[derive(Clone, Debug, Serialize)]
 pub struct Fleet {
-    /// One view a VM.
+    /// The status that each VM reports, which includes its view of the other VMs.
     pub views: Vec<Status>,
-    /// Why a VM did not answer.
-    pub silent: Vec<String>,
+    /// One error for each VM that did not answer.
+    #[serde(rename = "silent")]
+    pub unresponsive: Vec<String>,
 }
 
-/// Asks all VMs.
+/// Fetches the status of all VMs.
 pub async fn fetch(access: &Access) -> Fleet {
-    let mut fleet = Fleet { views: Vec::new(), silent: Vec::new() };
+    let mut fleet = Fleet { views: Vec::new(), unresponsive: Vec::new() };
     for addr in &access.addrs {
         match access.get(*addr, "/admin/status").await {
             Ok(status) => fleet.views.push(status),
-            Err(error) => fleet.silent.push(format!("{error:#}")),
+            Err(error) => fleet.unresponsive.push(format!("{error:#}")),
         }
     }
     fleet
 }
 
-/// Where a version of the table is not yet in force, as one VM sees it; empty if it is everywhere.
+/// VMs and failure domains where an edition of the table is not yet in force, as one VM sees them; empty if it
+/// is in force everywhere.
 pub fn not_in_force(status: &Status, edit: u64) -> Vec<String> {
-    let mut late = Vec::new();
+    let mut outdated = Vec::new();
     if status.edit < edit {
-        late.push(format!("{}: edition {} is in force", status.vm, status.edit));
+        outdated.push(format!("{}: edition {} is in force", status.vm, status.edit));
     }
     for domain in &status.domains {
         if !domain.reachable {
-            late.push(format!("domain {}: cut off, edition unknown", domain.domain));
+            outdated.push(format!("domain {}: cut off, edition unknown", domain.domain));
         } else if domain.edit < edit {
             let example = domain.example.as_deref().unwrap_or("its VMs");
             let text = format!(
                 "domain {}: edition {} at {example} ({} behind)",
                 domain.domain, domain.edit, domain.behind
             );
-            late.push(text);
+            outdated.push(text);
         }
     }
     let live = status.vms.iter().filter(|v| v.state == "alive" && v.reachable);
     for vm in live {
         let domain = vm.place.split_once("/d").and_then(|(_, d)| d.parse::<u8>().ok());
         if !status.domains.iter().any(|d| Some(d.domain) == domain) {
-            late.push(format!("{}: has not reported yet", vm.name));
+            outdated.push(format!("{}: has not reported yet", vm.name));
         }
     }
-    late
+    outdated
 }
 
-/// The fleet as a table for people.
-pub fn text(fleet: &Fleet) -> String {
+/// Formats the fleet's status as tables for people.
+pub fn render(fleet: &Fleet) -> String {
     let mut out = String::new();
-    for silent in &fleet.silent {
-        let _ = writeln!(out, "no answer  {silent}");
+    for error in &fleet.unresponsive {
+        let _ = writeln!(out, "no answer  {error}");
     }
     let Some(first) = fleet.views.first() else { return out };
     let _ = writeln!(out, "{:<20} {:<8} {:<9} {:<8} address", "VM", "place", "state", "reach");
@@ -79,16 +81,16 @@
         "upstream", "service", "group", "owner", "state"
     );
     for line in &first.upstreams {
-        // The owner alone knows an upstream's state.
-        let own = fleet.views.iter().find(|v| v.vm == line.owner);
-        let seen = own.and_then(|v| v.upstreams.iter().find(|u| u.upstream == line.upstream));
-        let state = match seen {
-            Some(seen) if seen.leaving => "leaving",
-            Some(seen) if !seen.state.is_empty() => seen.state.as_str(),
+        // Only the owner of an upstream's group knows the upstream's state.
+        let owner = fleet.views.iter().find(|v| v.vm == line.owner);
+        let reported = owner.and_then(|v| v.upstreams.iter().find(|u| u.upstream == line.upstream));
+        let state = match reported {
+            Some(reported) if reported.leaving => "leaving",
+            Some(reported) if !reported.state.is_empty() => reported.state.as_str(),
             _ if line.leaving => "leaving",
             _ => "?",
         };
-        let running = seen.map_or(0, |s| s.running);
+        let running = reported.map_or(0, |s| s.running);
         let _ = writeln!(
             out,
             "{:<9} {:<18} {:<10} {:<20} {state:<10} {running}",
--- a/crates/tgw-operate/src/table.rs
+++ b/crates/tgw-operate/src/table.rs
@@ -10,100 +10,103 @@
     diff::{self, Change},
 };
 
-const KIND: &str = "table";
-const NAME: &str = "main";
-/// Accepted edits that the object remembers.
-const HISTORY: usize = 50;
-/// Times that a write whose reply was lost is resolved by reading back.
-const TRIES: u32 = 5;
-/// The line before the header that says which edition the text was made from.
-const EDITION: &str = "# edition ";
+/// Kind and name of the table's object in the platform's store.
+const OBJECT_KIND: &str = "table";
+const OBJECT_NAME: &str = "main";
+/// Most revisions that the object keeps; older ones are dropped.
+const MAX_REVISIONS: usize = 50;
+/// Attempts to write an edition. After each attempt with a lost reply or a conflict, the object is read back to
+/// find out whether the write took effect.
+const MAX_WRITE_ATTEMPTS: u32 = 5;
+/// Prefix of the line before the CSV header that names the edition which the text was made from.
+const EDITION_PREFIX: &str = "# edition ";
 
 /// One accepted edit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Past {
-    /// The edition that it made.
-    pub edit: Edit,
-    /// When, in Unix seconds.
+pub struct Revision {
+    /// The edition that the edit created.
+    #[serde(rename = "edit")]
+    pub edition: Edit,
+    /// Time of the edit in Unix seconds.
     pub at_s: u64,
-    /// What changed.
+    /// Descriptions of the changes.
     pub changes: Vec<String>,
 }
 
-/// The table's object: the document that VMs read, and the history that operators read.
+/// The table's object in the store: the document, which VMs read, and the history, which operators read.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 struct Stored {
     #[serde(flatten)]
     document: Document,
     #[serde(default)]
-    history: Vec<Past>,
+    history: Vec<Revision>,
 }
 
 /// Why an edit was not accepted.
 #[derive(Debug, Display, Error)]
 pub enum Refusal {
-    /// The text has mistakes.
+    /// The text has errors.
     #[display("the table has {} mistake(s)", _0.len())]
     Findings(#[error(not(source))] Vec<Finding>),
-    /// Others have edited the table since the edition that the text was made from.
+    /// The table was edited after the edition that the text was made from.
     #[display("conflict: the table is at edition {current}, the file was made from {base}")]
     Conflict {
         /// The edition that the text was made from.
         base: Edit,
-        /// The edition that stands.
+        /// The current edition.
         current: Edit,
-        /// Rows that others changed since, and what the text would have changed.
+        /// Rows changed after `base`, and the changes that the text would make to the current table.
         rows: Vec<String>,
     },
-    /// The platform did not answer; nothing was written.
+    /// The platform is unavailable; nothing was written.
     #[display("the platform is unavailable: {reason}")]
     Unavailable {
-        /// What was seen.
+        /// The last error.
         reason: String,
     },
-    /// Whether the edit was accepted could not be found out.
+    /// It could not be determined whether the edit was accepted.
     #[display("unknown whether the edit was accepted: {reason}")]
     Unknown {
-        /// What was seen.
+        /// The last error.
         reason: String,
     },
 }
 
-/// The edition that a text was made from, and the text without that line.
-pub fn edition(text: &str) -> (Option<Edit>, &str) {
-    let Some(rest) = text.strip_prefix(EDITION) else { return (None, text) };
+/// Splits a text into the edition that it was made from, if its first line names one, and the CSV.
+pub fn split_edition(text: &str) -> (Option<Edit>, &str) {
+    let Some(rest) = text.strip_prefix(EDITION_PREFIX) else { return (None, text) };
     let (number, rest) = rest.split_once('\n').unwrap_or((rest, ""));
     (number.trim().parse().ok(), rest)
 }
 
-/// The CSV of the table in the platform, its first line naming the edition.
+/// Reads the table from the platform as CSV, after a first line that names the edition.
 pub async fn show(store: &dyn Store) -> Result<String, Refusal> {
-    let (_, stored) = read(store).await?;
-    Ok(format!("{EDITION}{}\n{}", stored.document.edit, stored.document.to_csv()))
+    let (_, stored) = read_stored(store).await?;
+    Ok(format!("{EDITION_PREFIX}{}\n{}", stored.document.edit, stored.document.to_csv()))
 }
 
-/// Checks a text; its document if it has no mistakes.
+/// Parses and validates a text. Errors: [`Refusal::Findings`].
 pub fn check(text: &str) -> Result<Document, Refusal> {
-    Document::from_csv(edition(text).1).map_err(Refusal::Findings)
+    Document::from_csv(split_edition(text).1).map_err(Refusal::Findings)
 }
 
-/// What a text would change in the table.
+/// The changes that a text would make to the table.
 pub async fn difference(store: &dyn Store, text: &str) -> Result<Vec<Change>, Refusal> {
     let wanted = check(text)?;
-    let (_, stored) = read(store).await?;
+    let (_, stored) = read_stored(store).await?;
     Ok(diff::between(&stored.document, &wanted))
 }
 
 /// The accepted edits, oldest first.
-pub async fn history(store: &dyn Store) -> Result<Vec<Past>, Refusal> {
-    Ok(read(store).await?.1.history)
+pub async fn history(store: &dyn Store) -> Result<Vec<Revision>, Refusal> {
+    Ok(read_stored(store).await?.1.history)
 }
 
-/// Makes a text the next edition; its number, or the current one if nothing changes.
+/// Writes a text as the next edition. Returns its number, or the current number if nothing changes.
 pub async fn apply(store: &dyn Store, text: &str) -> Result<Edit, Refusal> {
     let wanted = check(text)?;
-    let (version, stored) = read(store).await?;
-    let base = edition(text).0.unwrap_or(stored.document.edit);
+    let (version, stored) = read_stored(store).await?;
+    let base = split_edition(text).0.unwrap_or(stored.document.edit);
     if base != stored.document.edit {
         return Err(conflict(base, &stored.document, &wanted));
     }
@@ -111,52 +114,53 @@
     if changes.is_empty() {
         return Ok(base);
     }
-    let next = next(stored, &wanted, &changes);
-    write(store, version, base, &next, &wanted).await
+    let next = add_revision(stored, &wanted, &changes);
+    write_edition(store, version, base, &next, &wanted).await
 }
 
-fn next(mut stored: Stored, wanted: &Document, changes: &[Change]) -> Stored {
+fn add_revision(mut stored: Stored, wanted: &Document, changes: &[Change]) -> Stored {
     let document = stored.document.next(wanted);
     let at_s = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
     let changes = changes.iter().map(ToString::to_string).collect();
-    stored.history.push(Past { edit: document.edit, at_s, changes });
-    let old = stored.history.len().saturating_sub(HISTORY);
-    stored.history.drain(..old);
+    stored.history.push(Revision { edition: document.edit, at_s, changes });
+    let excess = stored.history.len().saturating_sub(MAX_REVISIONS);
+    stored.history.drain(..excess);
     stored.document = document;
     stored
 }
 
-/// Writes an edition, and finds out by reading back what became of a write whose reply was lost.
-async fn write(
+/// Writes an edition. If the reply is lost, reads the object back to find out whether the write took effect.
+async fn write_edition(
     store: &dyn Store,
     version: Version,
     base: Edit,
     next: &Stored,
     wanted: &Document,
 ) -> Result<Edit, Refusal> {
-    let unreadable = |e: serde_json::Error| Refusal::Unknown { reason: e.to_string() };
-    let value: Value = serde_json::to_value(next).map_err(unreadable)?;
+    let invalid_json = |e: serde_json::Error| Refusal::Unknown { reason: e.to_string() };
+    let value: Value = serde_json::to_value(next).map_err(invalid_json)?;
     let expect = if version == 0 { Expect::Absent } else { Expect::At(version) };
     let mut reason = String::new();
-    for attempt in 0..TRIES {
-        // Once a reply was lost, "unavailable" no longer says that nothing was written.
+    for attempt in 0..MAX_WRITE_ATTEMPTS {
+        // Only on the first attempt does `Unavailable` mean that nothing was written: an earlier write whose
+        // reply was lost may have taken effect.
         let first = attempt == 0;
-        match store.put(KIND, NAME, expect, &value).await {
+        match store.put(OBJECT_KIND, OBJECT_NAME, expect, &value).await {
             Ok(_) => return Ok(next.document.edit),
             Err(StoreError::Unavailable { reason }) if first => {
                 return Err(Refusal::Unavailable { reason });
             }
             Err(error) => reason = error.to_string(),
         }
-        // A conflict may be with our own write of which the reply was lost; another edition of the
-        // same number and content is that write, as editions are numbered by conditional updates.
-        match read(store).await {
+        // A conflict may be with our own earlier write whose reply was lost. An edition of the same number and
+        // content is that write, because editions are numbered by conditional updates.
+        match read_stored(store).await {
             Ok((_, found)) if found.document == next.document => return Ok(found.document.edit),
             Ok((_, found)) if found.document.edit != base => {
                 return Err(conflict(base, &found.document, wanted));
             }
-            // Still the edition that was written from: the write may yet take effect, or was lost.
-            // Written again from the same version, it can take effect only once.
+            // The object is still at the base edition: the write was lost, or may yet take effect. Retrying is
+            // safe, as only one write that expects the same version can take effect.
             Ok(_) => {}
             Err(error) => reason = error.to_string(),
         }
@@ -174,10 +178,12 @@
     Refusal::Conflict { base, current: current.edit, rows }
 }
 
-async fn read(store: &dyn Store) -> Result<(Version, Stored), Refusal> {
-    let object =
-        store.get(KIND, NAME).await.map_err(|e| Refusal::Unavailable { reason: e.to_string() })?;
+async fn read_stored(store: &dyn Store) -> Result<(Version, Stored), Refusal> {
+    let object = store
+        .get(OBJECT_KIND, OBJECT_NAME)
+        .await
+        .map_err(|e| Refusal::Unavailable { reason: e.to_string() })?;
     let Some(object) = object else { return Ok((0, Stored::default())) };
-    let unreadable = |e: serde_json::Error| Refusal::Unknown { reason: e.to_string() };
-    Ok((object.version, serde_json::from_value(object.value).map_err(unreadable)?))
+    let invalid_json = |e: serde_json::Error| Refusal::Unknown { reason: e.to_string() };
+    Ok((object.version, serde_json::from_value(object.value).map_err(invalid_json)?))
 }
--- a/crates/tgw-operate/src/timeline.rs
+++ b/crates/tgw-operate/src/timeline.rs
@@ -1,18 +1,18 @@
-//! One request's story, told from the log files of VMs.
+//! Timeline of one request, built from the log files of VMs.
 
-use crate::log::{self, Line, seconds};
+use crate::log::{self, Line, seconds_of_day};
 use std::{
     collections::{BTreeMap, BTreeSet},
     io,
     path::Path,
 };
 
-/// Messages about what a VM believes, by which its decisions are explained.
-const BELIEFS: [&str; 14] = [
+/// Messages about a VM's state that help to explain its decisions.
+const STATE_MESSAGES: [&str; 14] = [
     "start",
     "stop",
     "reload",
-    LEAVING,
+    DRAIN_MESSAGE,
     "configuration in force",
     "store lost",
     "store regained",
@@ -22,75 +22,80 @@
     "VMs counted",
     "this VM was paused",
     "watching the platform's store for the failure domain",
-    LEFT_OUT,
+    LINES_DROPPED_MESSAGE,
 ];
-/// The message of a VM that was told to stop.
-const LEAVING: &str = "leaving: not ready, still accepting";
-/// The message that counts lines which were left out.
-const LEFT_OUT: &str = "log lines left out in the last interval";
-/// The message of a VM that lost an upstream under one or more sends.
-const LOST: &str = "upstream ended under a send";
-/// The message of a send to an upstream whose entry is missing.
-const DOUBTED: &str = "send to a doubted upstream";
-/// Time in s that callers allow for a connection, and that their report may lie after its begin.
-const CONNECT_S: f64 = 1.5;
-/// Messages that tell whether a VM ran.
-const LIFE: [&str; 3] = ["start", "stop", LEAVING];
-/// What the logs say of one request.
+/// Message of a VM that starts to drain because it was told to stop.
+const DRAIN_MESSAGE: &str = "leaving: not ready, still accepting";
+/// Message that gives the number of dropped log lines.
+const LINES_DROPPED_MESSAGE: &str = "log lines left out in the last interval";
+/// Message of a VM under one or more of whose sends an upstream process ended.
+const UPSTREAM_ENDED_MESSAGE: &str = "upstream ended under a send";
+/// Message of a send to a retained upstream: one whose entry is missing from the store.
+const RETAINED_SEND_MESSAGE: &str = "send to a doubted upstream";
+/// Connect timeout of callers in s. The time that a caller reports for a request may lie this long after it began
+/// to connect.
+const CONNECT_TIMEOUT_S: f64 = 1.5;
+/// Messages that tell whether a VM was running.
+const LIFECYCLE_MESSAGES: [&str; 3] = ["start", "stop", DRAIN_MESSAGE];
+
+/// The log lines that explain how one request was handled.
 #[derive(Clone, Debug)]
-pub struct Story {
-    /// What the VMs concerned believed when the request came, and what changed while it ran.
-    pub before: Vec<String>,
-    /// What was decided for it, in order.
+pub struct Timeline {
+    /// Lines on the state of the VMs that handled the request: as of its arrival, and changes while it ran.
+    pub context: Vec<String>,
+    /// Lines about the request itself, in order of time.
     pub lines: Vec<String>,
-    /// Why it was answered as it was.
+    /// Why the request ended as it did.
     pub cause: String,
 }
 
-/// The request that is asked about.
+/// Selects the request to explain.
 #[derive(Copy, Clone, Debug)]
-pub struct Asked<'a> {
-    /// Its identity.
+pub struct Selector<'a> {
+    /// The request's ID.
     pub request: &'a str,
-    /// When its caller sent it, as the beginning of an RFC 3339 time; for requests that no VM logged.
+    /// When the caller sent the request, as a prefix of an RFC 3339 time. Used if no VM logged it.
     pub at: Option<&'a str>,
-    /// The VM that its caller was led to, if that is known.
+    /// The VM that the caller connected to, if known.
     pub vm: Option<&'a str>,
 }
 
-/// Reads the logs of VMs and tells the story of a request.
+/// Reads the logs of VMs and builds the timeline of a request.
 /// Errors: a file cannot be read.
-pub fn read(asked: Asked<'_>, files: &[impl AsRef<Path>]) -> io::Result<Story> {
+pub fn read(selector: Selector<'_>, files: &[impl AsRef<Path>]) -> io::Result<Timeline> {
     let lines = log::read(files)?;
-    let story = tell(asked.request, &lines);
-    Ok(match asked.at {
-        Some(at) if story.lines.is_empty() => absent(at, asked.vm, &lines),
-        _ => story,
+    let timeline = build(selector.request, &lines);
+    Ok(match selector.at {
+        Some(at) if timeline.lines.is_empty() => explain_unlogged(at, selector.vm, &lines),
+        _ => timeline,
     })
 }
 
-/// The story of a request that no VM logged: what the VMs did round the time it was sent.
-fn absent(at: &str, vm: Option<&str>, lines: &[Line]) -> Story {
-    let of = |line: &&Line| vm.is_none_or(|vm| line.vm == vm);
-    let mut last: BTreeMap<&str, Round<'_>> = BTreeMap::new();
-    for line in lines.iter().filter(of) {
-        let round = last.entry(line.vm.as_str()).or_default();
-        let later = line.at() > at;
-        if line.message() == LEFT_OUT && later {
-            round.left_out.get_or_insert(line);
-        } else if LIFE.contains(&line.message()) && later {
-            round.after.get_or_insert(line);
-        } else if LIFE.contains(&line.message()) {
-            round.before = Some(line);
+/// The timeline of a request that no VM logged: what happened to the VMs around the time at which it was sent.
+fn explain_unlogged(at: &str, vm: Option<&str>, lines: &[Line]) -> Timeline {
+    let is_selected = |line: &&Line| vm.is_none_or(|vm| line.vm == vm);
+    let mut nearest_by_vm: BTreeMap<&str, NearestLines<'_>> = BTreeMap::new();
+    for line in lines.iter().filter(is_selected) {
+        let nearest = nearest_by_vm.entry(line.vm.as_str()).or_default();
+        let later = line.timestamp() > at;
+        if line.message() == LINES_DROPPED_MESSAGE && later {
+            nearest.lines_dropped.get_or_insert(line);
+        } else if LIFECYCLE_MESSAGES.contains(&line.message()) && later {
+            nearest.after.get_or_insert(line);
+        } else if LIFECYCLE_MESSAGES.contains(&line.message()) {
+            nearest.before = Some(line);
         }
     }
     let mut causes = Vec::new();
-    let mut told = Vec::new();
-    for (vm, Round { before, after, left_out }) in last {
-        told.extend([before, left_out, after].into_iter().flatten().map(Line::told));
-        let next = left_out.filter(|l| after.is_none_or(|a| l.at() < a.at()));
-        causes.extend(life(vm, before, after).or_else(|| fresh(vm, before, at)));
-        causes.extend(next.map(|l| format!("{vm} had left lines out by {}", l.at())));
+    let mut context = Vec::new();
+    for (vm, NearestLines { before, after, lines_dropped }) in nearest_by_vm {
+        context.extend([before, lines_dropped, after].into_iter().flatten().map(Line::render));
+        let drop_report =
+            lines_dropped.filter(|l| after.is_none_or(|a| l.timestamp() < a.timestamp()));
+        causes.extend(
+            lifecycle_cause(vm, before, after).or_else(|| recent_start_cause(vm, before, at)),
+        );
+        causes.extend(drop_report.map(|l| format!("{vm} had left lines out by {}", l.timestamp())));
     }
     let cause = match causes.is_empty() {
         true => {
@@ -98,77 +103,81 @@
         }
         false => causes.join("; "),
     };
-    Story { before: told, lines: Vec::new(), cause }
+    Timeline { context, lines: Vec::new(), cause }
 }
 
-/// A VM that had just started: a connection that was begun while it was down is lost.
-fn fresh(vm: &str, before: Option<&Line>, at: &str) -> Option<String> {
+/// The cause if a VM had started less than a connect timeout before `at`: the caller may have begun to connect
+/// while the VM was down, and that connection is lost.
+fn recent_start_cause(vm: &str, before: Option<&Line>, at: &str) -> Option<String> {
     let started = before.filter(|l| l.message() == "start")?;
-    let ago = seconds(at)? - seconds(started.at())?;
-    let lost = (0.0..CONNECT_S).contains(&ago);
+    let age_s = seconds_of_day(at)? - seconds_of_day(started.timestamp())?;
+    let lost = (0.0..CONNECT_TIMEOUT_S).contains(&age_s);
     lost.then(|| {
-        format!("{vm} had started only {ago:.1} s before: what was begun earlier was lost")
+        format!("{vm} had started only {age_s:.1} s before: what was begun earlier was lost")
     })
 }
 
-/// What one VM logged of itself round a moment.
+/// The lines on a VM's lifecycle that are nearest to a moment, before and after it.
 #[derive(Default)]
-struct Round<'a> {
+struct NearestLines<'a> {
     before: Option<&'a Line>,
     after: Option<&'a Line>,
-    left_out: Option<&'a Line>,
+    /// The first line after the moment that reports dropped log lines.
+    lines_dropped: Option<&'a Line>,
 }
 
-/// What the lines before and after a moment say of a VM's life at that moment.
-fn life(vm: &str, before: Option<&Line>, after: Option<&Line>) -> Option<String> {
+/// The cause if a VM was not running or was draining at a moment, by its nearest lifecycle lines.
+fn lifecycle_cause(vm: &str, before: Option<&Line>, after: Option<&Line>) -> Option<String> {
     let message = |line: Option<&Line>| line.map_or("", Line::message).to_owned();
-    let when = after.map_or("", Line::at);
+    let when = after.map_or("", Line::timestamp);
     match (message(before).as_str(), message(after).as_str()) {
         ("", "start") => Some(format!("{vm} had not started, which it did at {when}")),
         ("stop", "start") => Some(format!("{vm} had stopped, and started again at {when}")),
         ("stop", _) => Some(format!("{vm} had stopped for good")),
-        // A process that starts without having said that it stops was killed or lost power.
+        // A process that starts again without a stop message before was killed, or its host lost power.
         ("start", "start") => {
             Some(format!("{vm} ended without a word, at some time before it started at {when}"))
         }
-        (LEAVING, _) => Some(format!("{vm} was leaving, and stopped taking callers")),
+        (DRAIN_MESSAGE, _) => Some(format!("{vm} was leaving, and stopped taking callers")),
         _ => None,
     }
 }
 
-fn tell(request: &str, lines: &[Line]) -> Story {
-    let of = |line: &&Line| line.text("request") == request || line.lists("requests", request);
-    let own: Vec<&Line> = lines.iter().filter(of).collect();
+fn build(request: &str, lines: &[Line]) -> Timeline {
+    let is_own =
+        |line: &&Line| line.text("request") == request || line.has_word("requests", request);
+    let own: Vec<&Line> = lines.iter().filter(is_own).collect();
     let vms: BTreeSet<&str> = own.iter().map(|l| l.vm.as_str()).collect();
     let upstreams: BTreeSet<&str> =
         own.iter().map(|l| l.text("upstream")).filter(|u| !u.is_empty()).collect();
-    let (first, last) = (own.first().map_or("", |l| l.at()), own.last().map_or("", |l| l.at()));
-    let mut beliefs: BTreeMap<(&str, &str), &Line> = BTreeMap::new();
-    let mut meanwhile = Vec::new();
-    for line in lines.iter().filter(|l| vms.contains(l.vm.as_str()) && l.at() <= last) {
+    let (first, last) =
+        (own.first().map_or("", |l| l.timestamp()), own.last().map_or("", |l| l.timestamp()));
+    let mut latest_state: BTreeMap<(&str, &str), &Line> = BTreeMap::new();
+    let mut during = Vec::new();
+    for line in lines.iter().filter(|l| vms.contains(l.vm.as_str()) && l.timestamp() <= last) {
         let upstream = line.text("upstream");
-        let about = upstreams.contains(upstream) && line.text("request").is_empty();
-        if !about && !BELIEFS.contains(&line.message()) {
+        let is_about_upstream = upstreams.contains(upstream) && line.text("request").is_empty();
+        if !is_about_upstream && !STATE_MESSAGES.contains(&line.message()) {
             continue;
         }
-        if line.at() >= first {
-            meanwhile.push(line);
+        if line.timestamp() >= first {
+            during.push(line);
         } else {
-            // The last word of each kind is what was believed.
-            let key = if about { upstream } else { line.message() };
-            beliefs.insert((line.vm.as_str(), key), line);
+            // The VM's state when the request came is given by the latest line of each kind before it.
+            let key = if is_about_upstream { upstream } else { line.message() };
+            latest_state.insert((line.vm.as_str(), key), line);
         }
     }
-    let mut before: Vec<&Line> = beliefs.into_values().chain(meanwhile).collect();
-    before.sort_by(|a, b| a.at().cmp(b.at()));
-    Story {
-        before: before.into_iter().map(Line::told).collect(),
-        lines: own.iter().map(|l| l.told()).collect(),
-        cause: cause(&own) + &doubted(&own) + &alike(&own, lines),
+    let mut context: Vec<&Line> = latest_state.into_values().chain(during).collect();
+    context.sort_by(|a, b| a.timestamp().cmp(b.timestamp()));
+    Timeline {
+        context: context.into_iter().map(Line::render).collect(),
+        lines: own.iter().map(|l| l.render()).collect(),
+        cause: answer_cause(&own) + &retained_sends(&own) + &similar_losses(&own, lines),
     }
 }
 
-fn cause(own: &[&Line]) -> String {
+fn answer_cause(own: &[&Line]) -> String {
     let Some(end) = own.iter().rev().find(|l| l.message() == "request") else {
         return match own.len() {
             0 => "no VM logged this request: it reached none, or its lines were left out; --at tells \
@@ -200,26 +209,26 @@
         "body late" => "its body did not come in time".into(),
         "caller left" => "the caller left before its answer".into(),
         "all upstreams full" => "all upstreams hold as many sends as this VM may make".into(),
-        _ => trouble(own),
+        _ => upstream_failures(own),
     };
-    let (outcome, age) = (end.text("outcome"), end.number("age_ms"));
+    let (outcome, age_ms) = (end.text("outcome"), end.number("age_ms"));
     let (got, parts) = (end.number("got"), end.number("parts"));
-    let once = if end.text("safety") == "at-most-once" && outcome != "forwarded" {
+    let not_retried = if end.text("safety") == "at-most-once" && outcome != "forwarded" {
         " (at most once: not sent again after a send that may have run)"
     } else {
         ""
     };
-    let left_out = if outcome == "merged" && got < parts {
+    let missing_parts = if outcome == "merged" && got < parts {
         format!(", {} of {parts} parts left out", parts - got)
     } else {
         String::new()
     };
-    format!("{outcome} after {age} ms{left_out}: {reason}{once}")
+    format!("{outcome} after {age_ms} ms{missing_parts}: {reason}{not_retried}")
 }
 
-/// Sends of it to upstreams that had left, as far as the VM knew.
-fn doubted(own: &[&Line]) -> String {
-    let sent = own.iter().filter(|l| l.message() == DOUBTED).map(|l| {
+/// Sends of the request to upstreams whose entries the VM knew to be missing.
+fn retained_sends(own: &[&Line]) -> String {
+    let sent = own.iter().filter(|l| l.message() == RETAINED_SEND_MESSAGE).map(|l| {
         let (upstream, known) = (l.text("upstream"), l.number("known_ms"));
         let over = match l.number("over_ms") {
             0 => String::new(),
@@ -231,39 +240,47 @@
 }
 
 /// How many upstreams ended under this request and others with its fingerprint.
-fn alike(own: &[&Line], lines: &[Line]) -> String {
-    let Some(print) = own.iter().map(|l| l.text("print")).find(|p| !p.is_empty()) else {
+fn similar_losses(own: &[&Line], lines: &[Line]) -> String {
+    let Some(fingerprint) = own.iter().map(|l| l.text("print")).find(|p| !p.is_empty()) else {
         return String::new();
     };
-    let lost = lines.iter().filter(|l| l.message() == LOST && l.lists("prints", print));
+    let lost = lines
+        .iter()
+        .filter(|l| l.message() == UPSTREAM_ENDED_MESSAGE && l.has_word("prints", fingerprint));
     let ended: BTreeSet<&str> = lost.map(|l| l.text("upstream")).collect();
     match ended.len() {
         0 => String::new(),
-        count => format!("; {count} upstreams ended under requests with its fingerprint, {print}"),
+        count => {
+            format!("; {count} upstreams ended under requests with its fingerprint, {fingerprint}")
+        }
     }
 }
 
-/// What went wrong at upstreams, and what kept further sends back.
-fn trouble(own: &[&Line]) -> String {
-    let mut found = Vec::new();
+/// Failed sends of the request, and why further sends were withheld.
+fn upstream_failures(own: &[&Line]) -> String {
+    let mut failures = Vec::new();
     for line in own.iter().filter(|l| l.message() == "send ended") {
         let (service, upstream) = (line.text("service"), line.text("upstream"));
         let took = line.number("took_ms");
-        found.push(format!("{upstream} of {service} {} after {took} ms", line.text("result")));
+        failures.push(format!("{upstream} of {service} {} after {took} ms", line.text("result")));
     }
-    for line in own.iter().filter(|l| l.message() == LOST) {
-        found.push(format!("{} of {} ended under it", line.text("upstream"), line.text("service")));
+    for line in own.iter().filter(|l| l.message() == UPSTREAM_ENDED_MESSAGE) {
+        failures.push(format!(
+            "{} of {} ended under it",
+            line.text("upstream"),
+            line.text("service")
+        ));
     }
     for line in own.iter().filter(|l| l.message() == "send withheld") {
         let (service, why) = (line.text("service"), line.text("why"));
-        found.push(format!("no {why} to {service}: {}", line.text("reason")));
+        failures.push(format!("no {why} to {service}: {}", line.text("reason")));
     }
-    if found.is_empty() {
-        let late = own.iter().filter(|l| l.message() == "send").count();
-        return match late {
+    if failures.is_empty() {
+        let sends = own.iter().filter(|l| l.message() == "send").count();
+        return match sends {
             0 => "nothing went wrong at upstreams".into(),
-            _ => format!("{late} sends were late or failed"),
+            _ => format!("{sends} sends were late or failed"),
         };
     }
-    found.join("; ")
+    failures.join("; ")
 }
--- a/crates/tgw-operate/tests/operate/leaving.rs
+++ b/crates/tgw-operate/tests/operate/leaving.rs
@@ -1,6 +1,6 @@
-//! Tests of the account of an upstream that leaves.
+//! Tests of the report on an upstream that leaves.
 
-use crate::story::file;
+use crate::timeline::log_file;
 use tgw_operate::leaving;
 
 const LOG: &str = r#"
@@ -13,16 +13,16 @@
 v3 {"timestamp":"2026-01-01T00:00:06.500Z","message":"upstream removed","upstream":"i-2","revision":81}
 "#;
 
-// A request reaches an upstream seconds after it left. Who asks why has to see in one place which VM knew when, that
-// one of them kept the upstream, and for how much too long.
+// A request reaches an upstream seconds after it left. The report must show when each VM learned of that, which VM
+// retained the upstream, and by how much it exceeded the retention period.
 #[test]
-fn it_tells_who_knew_when_and_who_sent_all_the_same() {
-    let leaving = leaving::read("i-1", &[file("leaving.log", LOG)]).unwrap();
-    assert_eq!((leaving.vms["v2"].after_ms, &*leaving.vms["v2"].from), (0, "the store"));
-    let late = &leaving.vms["v1"];
+fn report_shows_when_vms_learned_and_which_sent_afterwards() {
+    let report = leaving::read("i-1", &[log_file("leaving.log", LOG)]).unwrap();
+    assert_eq!((report.vms["v2"].after_ms, &*report.vms["v2"].from), (0, "the store"));
+    let late = &report.vms["v1"];
     assert_eq!((late.after_ms, &*late.from, late.late_ms), (250, "10.0.0.2:7060", 2_850));
-    assert_eq!(late.sent, [("r".to_owned(), 3_050)]);
-    assert_eq!(leaving.unaware, ["v3"]);
-    let text = leaving.to_string();
+    assert_eq!(late.sends, [("r".to_owned(), 3_050)]);
+    assert_eq!(report.unaware, ["v3"]);
+    let text = report.to_string();
     assert!(text.contains("sent r there, 3050 ms after it had heard"), "{text}");
 }
--- a/crates/tgw-operate/tests/operate/losses.rs
+++ b/crates/tgw-operate/tests/operate/losses.rs
@@ -1,6 +1,6 @@
-//! Tests of the count of lost requests.
+//! Tests of the count of requests that were not answered completely and in time.
 
-use crate::story::file;
+use crate::timeline::log_file;
 use tgw_operate::losses::{self, Count, Options};
 
 const LOG: &str = r#"
@@ -17,15 +17,15 @@
 "#;
 
 #[test]
-fn each_lost_request_counts_once_a_matter() {
-    let losses = losses::read(&[file("losses.log", LOG)], &Options::default()).unwrap();
+fn each_lost_request_counts_once_per_category() {
+    let losses = losses::read(&[log_file("losses.log", LOG)], &Options::default()).unwrap();
     let one = Count { failed: 1, ..Count::default() };
     assert_eq!(losses.all, Count { failed: 1, refused: 1, late: 1, partial: 1 });
     assert_eq!(losses.causes["too few parts"], one);
     assert_eq!(losses.windows[&62], one);
     assert_eq!(losses.windows[&64], Count { partial: 1, ..Count::default() });
     assert_eq!(losses.upstreams["i-1 shed"], one);
-    assert!(!losses.upstreams.contains_key("i-2 shed"), "it was served all the same");
+    assert!(!losses.upstreams.contains_key("i-2 shed"), "its request succeeded with another send");
     assert_eq!(losses.services["s"], one);
     assert_eq!(losses.withheld["retry: budget used up"], one);
     assert_eq!(losses.left_out, 4);
@@ -34,13 +34,16 @@
     assert!(text.contains("00:01:02"), "{text}");
 }
 
-// Half of the requests of a day only try which configuration is in force. Where they end without a route the table
-// shows thousands of refusals that nobody was harmed by, and the few that were are lost among them.
+// Half of a day's requests only probe which configuration is in force. Where they find no route, thousands of harmless
+// refusals hide the few requests that callers really lost.
 #[test]
-fn requests_of_a_cause_can_be_left_out() {
+fn requests_of_an_excluded_cause_are_not_counted() {
     let options = Options { leave_out: vec!["too few parts".into()] };
-    let losses = losses::read(&[file("losses-left-out.log", LOG)], &options).unwrap();
+    let losses = losses::read(&[log_file("losses-left-out.log", LOG)], &options).unwrap();
     assert_eq!(losses.all, Count { failed: 0, refused: 1, late: 1, partial: 1 });
     assert!(!losses.causes.contains_key("too few parts"));
-    assert!(!losses.upstreams.contains_key("i-1 shed"), "nor what befell their sends");
+    assert!(
+        !losses.upstreams.contains_key("i-1 shed"),
+        "failed sends of excluded requests must not count"
+    );
 }
--- a/crates/tgw-operate/tests/operate/main.rs
+++ b/crates/tgw-operate/tests/operate/main.rs
@@ -1,8 +1,8 @@
-//! Tests of what operators do.
+//! Tests of the operator commands.
 
-#![allow(clippy::expect_used, clippy::unwrap_used, clippy::panic)] // A test fails by panic.
+#![allow(clippy::expect_used, clippy::unwrap_used, clippy::panic)] // Tests fail by panicking.
 
 mod leaving;
 mod losses;
-mod story;
 mod table;
+mod timeline;
--- a/crates/tgw-operate/tests/operate/table.rs
+++ b/crates/tgw-operate/tests/operate/table.rs
@@ -1,4 +1,4 @@
-//! Tests of edits of the table against the stand-in platform and its faults.
+//! Tests of edits of the table against the stand-in platform and its injected faults.
 
 use std::{future::Future, net::Ipv4Addr};
 use tgw_clock::Millis;
@@ -7,8 +7,8 @@
 use tgw_standin::{Platform, size::User};
 use tokio::{net::TcpListener, task::LocalSet};
 
-/// Runs `test` with a stand-in platform that holds a user's table as edition 1.
-fn with_platform<W: Future<Output = ()>>(test: impl FnOnce(Platform, Http) -> W) {
+/// Runs `test` with a stand-in platform whose store has a user's table as edition 1.
+fn with_platform<F: Future<Output = ()>>(test: impl FnOnce(Platform, Http) -> F) {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().expect("runtime");
     LocalSet::new().block_on(&runtime, async {
@@ -28,14 +28,14 @@
 }
 
 #[test]
-fn accepted_edit_is_the_next_edition_and_remembered() {
+fn accepted_edit_becomes_the_next_edition_and_is_in_the_history() {
     with_platform(|platform, store| async move {
         let text = table::show(&store).await.expect("the table");
         let edit = table::apply(&store, &text.replace("1500", "1200")).await.expect("accepted");
         assert_eq!((edit, edition(&platform)), (2, 2));
-        let past = table::history(&store).await.expect("the history");
-        assert_eq!(past.len(), 1);
-        assert!(past[0].changes[0].contains("1500 -> 1200"), "{past:?}");
+        let revisions = table::history(&store).await.expect("the history");
+        assert_eq!(revisions.len(), 1);
+        assert!(revisions[0].changes[0].contains("1500 -> 1200"), "{revisions:?}");
         assert_eq!(
             table::apply(&store, &text.replace("1500", "1200")).await.map_err(|_| ()),
             Err(())
@@ -43,10 +43,10 @@
     });
 }
 
-// Two operators edit the table at once. The second one's file, made from the older edition, silently
-// undoes the first one's edit.
+// Two operators edit the table at once. Without conflict detection the second one's file, made from the older
+// edition, would silently undo the first one's edit.
 #[test]
-fn racing_edit_is_a_conflict_with_the_rows_that_differ() {
+fn concurrent_edit_is_a_conflict_that_lists_the_changed_rows() {
     with_platform(|platform, store| async move {
         let text = table::show(&store).await.expect("the table");
         let first = text.replace("crew-roster,10", "crew-roster,20");
@@ -65,22 +65,22 @@
     });
 }
 
-// An operator sees an error, applies the edit again, and it counts twice or conflicts with itself: the
-// write had taken effect and its reply was lost.
+// A write takes effect but its reply is lost. If that were reported as an error, the operator would apply the edit
+// again, and it would count twice or conflict with itself.
 #[test]
-fn lost_reply_is_resolved_and_the_edit_applied_once() {
+fn edit_is_applied_once_when_its_reply_is_lost() {
     with_platform(|platform, store| async move {
         platform.set(|f| f.lose_replies = 1);
         let text = table::show(&store).await.expect("the table");
         let edit = table::apply(&store, &text.replace("1500", "1200")).await.expect("accepted");
         assert_eq!((edit, edition(&platform)), (2, 2));
-        let past = table::history(&store).await.expect("the history");
-        assert_eq!(past.len(), 1, "accepted once");
+        let revisions = table::history(&store).await.expect("the history");
+        assert_eq!(revisions.len(), 1, "accepted once");
     });
 }
 
 #[test]
-fn every_reply_lost_still_ends_in_one_edition() {
+fn edit_is_applied_once_when_every_reply_is_lost() {
     with_platform(|platform, store| async move {
         platform.set(|f| f.lose_replies = 100);
         let text = table::show(&store).await.expect("the table");
@@ -90,24 +90,24 @@
 }
 
 #[test]
-fn platform_that_is_down_changes_nothing_and_says_so() {
+fn unavailable_platform_is_reported_and_nothing_is_written() {
     with_platform(|platform, store| async move {
         let text = table::show(&store).await.expect("the table");
         platform.set(|f| f.down = true);
-        let refused = table::apply(&store, &text.replace("1500", "1200")).await;
-        assert!(matches!(refused, Err(Refusal::Unavailable { .. })), "{refused:?}");
+        let result = table::apply(&store, &text.replace("1500", "1200")).await;
+        assert!(matches!(result, Err(Refusal::Unavailable { .. })), "{result:?}");
         platform.set(|f| f.down = false);
         assert_eq!(edition(&platform), 1);
     });
 }
 
 #[test]
-fn wrong_table_is_refused_with_all_findings_and_nothing_written() {
+fn invalid_table_is_rejected_with_all_findings_and_nothing_is_written() {
     with_platform(|platform, store| async move {
         let text = table::show(&store).await.expect("the table");
-        let wrong =
+        let invalid =
             text.replace("crew-roster,10", "crew-roster,0").replace("covered,yes", "covered,maybe");
-        match table::apply(&store, &wrong).await {
+        match table::apply(&store, &invalid).await {
             Err(Refusal::Findings(findings)) => assert_eq!(findings.len(), 3, "{findings:?}"),
             other => panic!("findings were expected: {other:?}"),
         }
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn example_tables_are_the_users_own() {
+fn example_tables_equal_the_users_tables() {
     for (user, text) in [
         (User::Coimbra, include_str!("../../../../examples/table-coimbra.csv")),
         (User::Aspen, include_str!("../../../../examples/table-aspen.csv")),
--- a/crates/tgw-operate/tests/operate/timeline.rs
+++ b/crates/tgw-operate/tests/operate/timeline.rs
@@ -1,8 +1,8 @@
-//! Tests of a request's story.
+//! Tests of a request's timeline.
 
 use std::{fs, path::PathBuf};
 use test_case::test_case;
-use tgw_operate::story::{self, Asked};
+use tgw_operate::timeline::{self, Selector};
 
 const LOG: &str = r#"
 {"timestamp":"T01","message":"start","vm":"vm-1"}
@@ -23,14 +23,15 @@
 {"timestamp":"T10","message":"request","request":"partial","outcome":"merged","cause":"","got":8,"parts":10,"age_ms":140}
 "#;
 
-pub(crate) fn file(name: &str, text: &str) -> PathBuf {
+/// Writes a log file into the test folder and returns its path.
+pub(crate) fn log_file(name: &str, text: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     fs::write(&path, text).unwrap();
     path
 }
 
-fn asked(request: &str) -> Asked<'_> {
-    Asked { request, at: None, vm: None }
+fn selector(request: &str) -> Selector<'_> {
+    Selector { request, at: None, vm: None }
 }
 
 #[test_case("lost", "failed after 9 ms: i-1 of s broken after 4 ms; no retry to s: budget used up"; "a lost reply and no budget")]
@@ -41,41 +42,47 @@
 #[test_case("partial", "merged after 140 ms, 2 of 10 parts left out: nothing went wrong at upstreams"; "a partial answer")]
 #[test_case("ends", "failed after 30 ms: i-4 of s ended under it; 2 upstreams ended under requests with its fingerprint, 0a"; "a request that ends upstreams")]
 #[test_case("nobody", "no VM logged this request: it reached none, or its lines were left out; --at tells what the VMs did then"; "an id that no VM saw")]
-fn the_cause_follows_from_the_lines(request: &str, cause: &str) {
-    let path = file(&format!("vm-{request}.log"), LOG);
-    assert_eq!(story::read(asked(request), &[path]).unwrap().cause, cause);
+fn cause_is_derived_from_the_log_lines(request: &str, cause: &str) {
+    let path = log_file(&format!("vm-{request}.log"), LOG);
+    assert_eq!(timeline::read(selector(request), &[path]).unwrap().cause, cause);
 }
 
-// An engineer has the logs of all VMs in one file, each line with its VM's name before it. What the
-// VM believed when the request came is its last word of each kind, not all of them.
+// The logs of all VMs are in one file, each line prefixed with its VM's name. The state of a VM when the request came
+// is given by its latest line of each kind before that, not by all of them.
 #[test]
-fn what_a_vm_believed_is_its_last_word_before_the_request() {
+fn context_has_only_the_latest_line_of_each_kind_before_the_request() {
     let text: String = LOG.lines().map(|l| format!("  1.0 vm-7 {l}\n")).collect();
-    let story = story::read(asked("lost"), &[file("all.log", &text)]).unwrap();
-    assert_eq!(story.before.len(), 3, "{:?}", story.before);
-    assert!(story.before[1].contains("config=5"));
-    assert!(story.lines.iter().all(|l| l.contains("vm-7")));
-    assert_eq!(story.lines.len(), 3);
+    let timeline = timeline::read(selector("lost"), &[log_file("all.log", &text)]).unwrap();
+    assert_eq!(timeline.context.len(), 3, "{:?}", timeline.context);
+    assert!(timeline.context[1].contains("config=5"));
+    assert!(timeline.lines.iter().all(|l| l.contains("vm-7")));
+    assert_eq!(timeline.lines.len(), 3);
 }
 
-// A caller found no connection. No VM has a line of its request, but the VM that it was led to says why:
-// it had been killed, had left, or left out lines for a while.
+// A caller could not connect, so no VM logged its request. The log of the VM that it tried to reach must give the
+// cause: the VM was killed, had stopped, or dropped log lines for a while.
 #[test_case("start", 10, "start", 14, "vm-1 ended without a word, at some time before it started at 14"; "killed")]
 #[test_case("stop", 10, "start", 14, "vm-1 had stopped, and started again at 14"; "stopped")]
 #[test_case("start", 10, "log lines left out in the last interval", 13, "vm-1 had left lines out by 13"; "left out")]
 #[test_case("start", 10, "stop", 30, "no VM logged this request, and all that are named here ran: it reached none"; "it ran")]
-fn a_request_that_no_vm_logged(before: &str, since: u32, after: &str, then: u32, cause: &str) {
+fn cause_of_a_request_that_no_vm_logged(
+    before: &str,
+    since: u32,
+    after: &str,
+    then: u32,
+    cause: &str,
+) {
     let line = |vm: &str, message: &str, at: u32| {
         format!("{vm} {{\"timestamp\":\"{at}\",\"message\":\"{message}\"}}\n")
     };
     let text = line("vm-1", before, since) + &line("vm-1", after, then) + &line("vm-2", "stop", 11);
-    let asked = Asked { request: "none", at: Some("12"), vm: Some("vm-1") };
+    let selector = Selector { request: "none", at: Some("12"), vm: Some("vm-1") };
     let name = format!("absent-{then}-{}.log", before.len());
-    assert_eq!(story::read(asked, &[file(&name, &text)]).unwrap().cause, cause);
+    assert_eq!(timeline::read(selector, &[log_file(&name, &text)]).unwrap().cause, cause);
 }
 
-// The same, and the VM had come back the moment before: the caller's connection was begun while it was
-// down, and nothing of it arrived.
+// No VM logged the request, and the VM had started a moment before: the caller began to connect while the VM was
+// down, and nothing of that connection arrived.
 #[test_case(
     "2026-09-07T10:23:26.7Z",
     "vm-1 had started only 0.6 s before: what was begun earlier was lost"
@@ -84,27 +91,27 @@
     "2026-09-07T10:23:46.7Z",
     "no VM logged this request, and all that are named here ran: it reached none"
 )]
-fn a_request_to_a_vm_that_had_just_started(at: &str, cause: &str) {
+fn cause_of_a_request_to_a_vm_that_had_just_started(at: &str, cause: &str) {
     let text = r#"vm-1 {"timestamp":"2026-09-07T10:23:26.1Z","message":"start"}"#;
-    let asked = Asked { request: "none", at: Some(at), vm: None };
-    let file = file(&format!("fresh-{}.log", &at[17..19]), text);
-    assert_eq!(story::read(asked, &[file]).unwrap().cause, cause);
+    let selector = Selector { request: "none", at: Some(at), vm: None };
+    let path = log_file(&format!("fresh-{}.log", &at[17..19]), text);
+    assert_eq!(timeline::read(selector, &[path]).unwrap().cause, cause);
 }
 
-const DOUBTED: &str = r#"
+const RETAINED_SEND_LOG: &str = r#"
 {"timestamp":"2026-01-01T00:00:02.250Z","message":"upstream removed","upstream":"i-9","from":"10.0.0.2:7060"}
 {"timestamp":"2026-01-01T00:00:05.300Z","message":"send to a doubted upstream","request":"q","upstream":"i-9","service":"s","known_ms":3050,"over_ms":1050}
 {"timestamp":"2026-01-01T00:00:05.400Z","message":"request","request":"q","outcome":"forwarded","cause":"","age_ms":90}
 "#;
 
-// An upstream had left three seconds before a request reached it. The request's own story has to say so, or the
-// question why it went there leads to the logs of all VMs.
+// A request was sent to an upstream that had left three seconds before. The request's timeline must say so, or finding
+// out why it went there takes a search through the logs of all VMs.
 #[test]
-fn a_send_to_an_upstream_that_had_left_is_told() {
-    let asked = Asked { request: "q", at: None, vm: None };
-    let story = story::read(asked, &[file("doubted.log", DOUBTED)]).unwrap();
-    let said =
+fn cause_names_a_send_to_an_upstream_whose_entry_was_missing() {
+    let selector = Selector { request: "q", at: None, vm: None };
+    let timeline = timeline::read(selector, &[log_file("doubted.log", RETAINED_SEND_LOG)]).unwrap();
+    let expected =
         "sent to i-9, whose entry had been missing for 3050 ms, 1050 ms longer than it is kept";
-    assert!(story.cause.contains(said), "{}", story.cause);
-    assert!(story.before[0].contains("upstream removed"), "{:?}", story.before);
+    assert!(timeline.cause.contains(expected), "{}", timeline.cause);
+    assert!(timeline.context[0].contains("upstream removed"), "{:?}", timeline.context);
 }
