--- a/crates/tgw-upstream/src/client.rs
+++ b/crates/tgw-upstream/src/client.rs
@@ -13,47 +13,47 @@
 use tgw_topology::{Shard, Snapshot};
 use tokio::{net::TcpStream, time::timeout};
 
-/// Largest reply that is read.
-const REPLY_LIMIT: usize = 4 << 20;
-/// Time for a connection to be made.
-const CONNECT: Millis = Millis::new(1000);
-/// Time past a deadline for an upstream to say that it gave up.
-const GRACE: Millis = Millis::new(50);
+/// Largest reply body that is accepted.
+const MAX_REPLY_BYTES: usize = 4 << 20;
+/// Time limit for establishing a connection.
+const CONNECT_TIMEOUT_MS: Millis = Millis::new(1000);
+/// Time after the deadline in which an upstream may still reply that the deadline passed.
+const DEADLINE_GRACE_MS: Millis = Millis::new(50);
 
-/// One search of one shard.
+/// A search request for one shard.
 #[derive(Clone, Debug)]
 pub struct Search {
-    /// Names the request for its cancellation.
+    /// Identifies the request, so that it can be cancelled.
     pub request: u64,
-    /// The snapshot to be searched.
+    /// The snapshot to search.
     pub snapshot: Snapshot,
-    /// The shard to be searched.
+    /// The shard to search.
     pub shard: Shard,
-    /// Time left.
+    /// Time until the deadline.
     pub left: Millis,
-    /// What is searched for.
+    /// The query, sent as the request's body.
     pub body: Bytes,
 }
 
-/// What a search brought.
+/// The result of a request, with what the upstream reports about itself.
 #[derive(Debug)]
-pub struct Probe<T> {
-    /// The result.
+pub struct Response<T> {
+    /// The decoded reply, or why there is none.
     pub result: T,
-    /// The snapshots that the upstream says it holds.
+    /// The snapshots that the upstream holds; `None` if the reply does not list them.
     pub held: Option<Held>,
-    /// The life of the upstream's process, if it says.
+    /// The incarnation of the upstream's process; `None` if the reply does not state it.
     pub incarnation: Option<u64>,
 }
 
-/// What came of a non-idempotent request.
+/// The outcome of a non-idempotent request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Ordered {
-    /// The upstream ran it and answered this.
+    /// The upstream executed the request; its reply body.
     Ran(Bytes),
-    /// The upstream states that it did not run it and will not.
+    /// The upstream states that it has not executed the request and will not.
     NotRun,
-    /// The request may have been run: it was sent and no certain reply came.
+    /// The request may have been executed: it was sent, but no reply says whether it was.
     Unknown,
     /// No byte of the request was sent.
     NotSent,
@@ -61,87 +61,87 @@
 
 type Connection = SendRequest<Full<Bytes>>;
 
-struct Shared {
+struct Pool {
     addr: SocketAddr,
-    limit: u32,
+    max_connections: u32,
     open: Cell<u32>,
     opened: Cell<u64>,
     idle: RefCell<Vec<Connection>>,
 }
 
-/// The connections to one upstream. Lives on one thread.
+/// The connection pool of one upstream. Must stay on one thread.
 #[derive(Clone)]
-pub struct Client(Rc<Shared>);
+pub struct Client(Rc<Pool>);
 
-/// Counts a connection for as long as it is open.
-struct Counted(Rc<Shared>);
+/// Counts a connection as open until dropped.
+struct ConnectionGuard(Rc<Pool>);
 
-impl Drop for Counted {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.open.set(self.0.open.get().saturating_sub(1));
     }
 }
 
 impl Client {
-    /// A client of the upstream at `addr` with at most `limit` connections. Makes none yet.
+    /// Creates a client of the upstream at `addr` with at most `limit` connections. Connects on first use.
     pub fn open(addr: SocketAddr, limit: u32) -> Self {
-        Self(Rc::new(Shared {
+        Self(Rc::new(Pool {
             addr,
-            limit,
+            max_connections: limit,
             open: Cell::new(0),
             opened: Cell::new(0),
             idle: RefCell::new(Vec::new()),
         }))
     }
 
-    /// Connections that are open.
+    /// Number of open connections.
     pub fn connections(&self) -> u32 {
         self.0.open.get()
     }
 
-    /// Connections made since the start.
+    /// Number of connections established since the client was created.
     pub fn opened(&self) -> u64 {
         self.0.opened.get()
     }
 
-    /// Closes the idle connections, as when the upstream's group is handed over.
+    /// Closes the idle connections, for example when another VM takes over the upstream's group.
     pub fn close_idle(&self) {
         self.0.idle.borrow_mut().clear();
     }
 
-    /// Makes connections until `count` are open, so that no search waits for one.
+    /// Opens connections until `count` are open, so that no search waits for a handshake.
     pub async fn warm(&self, count: u32) {
-        while self.connections() < count.min(self.0.limit) {
+        while self.connections() < count.min(self.0.max_connections) {
             match self.connect().await {
-                Ok(connection) => self.put_back(connection),
+                Ok(connection) => self.release(connection),
                 Err(_) => return,
             }
         }
     }
 
     async fn connect(&self) -> Result<Connection, Failure> {
-        // The limit holds for all VMs together and is shared out by ownership; one connection too
-        // many at each of many VMs would lock an upstream that refuses them all.
-        if self.0.open.get() >= self.0.limit {
+        // The limit applies to all VMs together and is divided among them by ownership. If each of
+        // many VMs opened one connection too many, the upstream would refuse all of them.
+        if self.0.open.get() >= self.0.max_connections {
             return Err(Failure::Connect);
         }
         self.0.open.set(self.0.open.get() + 1);
-        let counted = Counted(self.0.clone());
-        let stream = timeout(CONNECT.into(), TcpStream::connect(self.0.addr)).await;
+        let guard = ConnectionGuard(self.0.clone());
+        let stream = timeout(CONNECT_TIMEOUT_MS.into(), TcpStream::connect(self.0.addr)).await;
         let stream = stream.ok().and_then(Result::ok).ok_or(Failure::Connect)?;
-        // Without it, small requests wait for the acknowledgement of the ones before them.
+        // With Nagle's algorithm, a small request would wait for the acknowledgement of the previous one.
         let _ = stream.set_nodelay(true);
-        let shaken = http1::handshake(TokioIo::new(stream)).await;
-        let (sender, connection) = shaken.map_err(|_| Failure::Connect)?;
+        let handshake = http1::handshake(TokioIo::new(stream)).await;
+        let (sender, connection) = handshake.map_err(|_| Failure::Connect)?;
         self.0.opened.set(self.0.opened.get() + 1);
         tokio::task::spawn_local(async move {
-            let _counted = counted;
+            let _guard = guard;
             let _ = connection.await;
         });
         Ok(sender)
     }
 
-    async fn take(&self) -> Result<Connection, Failure> {
+    async fn acquire(&self) -> Result<Connection, Failure> {
         loop {
             let idle = self.0.idle.borrow_mut().pop();
             match idle {
@@ -156,33 +156,33 @@
         }
     }
 
-    fn put_back(&self, connection: Connection) {
+    fn release(&self, connection: Connection) {
         if !connection.is_closed() {
             self.0.idle.borrow_mut().push(connection);
         }
     }
 
-    /// Sends one request. Errors say whether the request may have been sent.
+    /// Sends one request. The flag of an error tells whether the request may have been sent.
     async fn exchange(
         &self,
         request: Request<Full<Bytes>>,
         limit: Millis,
     ) -> Result<(StatusCode, HeaderMap, Bytes), (bool, Failure)> {
-        let mut connection = self.take().await.map_err(|f| (false, f))?;
+        let mut connection = self.acquire().await.map_err(|f| (false, f))?;
         let exchange = async {
             let response = connection.send_request(request).await.map_err(|_| Failure::Closed)?;
             let (head, body) = response.into_parts();
-            let body = Limited::new(body, REPLY_LIMIT).collect().await.map_err(|e| {
-                let large = e.is::<LengthLimitError>();
-                if large { Failure::Oversized } else { Failure::Malformed }
+            let body = Limited::new(body, MAX_REPLY_BYTES).collect().await.map_err(|e| {
+                let too_large = e.is::<LengthLimitError>();
+                if too_large { Failure::Oversized } else { Failure::Malformed }
             })?;
-            // The connection reads into one buffer again only if nothing holds on to it.
+            // The connection can reuse its read buffer only if no reference to it is kept.
             let body = Bytes::copy_from_slice(&body.to_bytes());
             Ok((head.status, head.headers, body))
         };
         match timeout(limit.into(), exchange).await {
             Ok(Ok(response)) => {
-                self.put_back(connection);
+                self.release(connection);
                 Ok(response)
             }
             Ok(Err(failure)) => Err((true, failure)),
@@ -190,8 +190,8 @@
         }
     }
 
-    /// Searches one shard.
-    pub async fn search(&self, search: &Search) -> Probe<Result<Reply, Failure>> {
+    /// Sends a search of one shard.
+    pub async fn search(&self, search: &Search) -> Response<Result<Reply, Failure>> {
         let request = self.request(Method::POST, protocol::SEARCH, search.body.clone(), |r| {
             r.header(protocol::REQUEST, search.request)
                 .header(protocol::SNAPSHOT, protocol::write_snapshot(search.snapshot))
@@ -199,29 +199,29 @@
                 .header(protocol::DEADLINE, search.left.whole())
         });
         let Ok(request) = request else {
-            return Probe { result: Err(Failure::Connect), held: None, incarnation: None };
+            return Response { result: Err(Failure::Connect), held: None, incarnation: None };
         };
-        match self.exchange(request, search.left + GRACE).await {
-            Ok((status, headers, body)) => Probe {
-                held: reply::held(&headers),
+        match self.exchange(request, search.left + DEADLINE_GRACE_MS).await {
+            Ok((status, headers, body)) => Response {
+                held: reply::held_snapshots(&headers),
                 incarnation: reply::incarnation(&headers),
-                result: reply::read(status, &headers, body),
+                result: reply::decode(status, &headers, body),
             },
-            Err((_, failure)) => Probe { result: Err(failure), held: None, incarnation: None },
+            Err((_, failure)) => Response { result: Err(failure), held: None, incarnation: None },
         }
     }
 
-    /// Asks the upstream to stop a search.
+    /// Asks the upstream to cancel a search.
     pub async fn cancel(&self, request: u64) {
         let built = self.request(Method::POST, protocol::CANCEL, Bytes::new(), |r| {
             r.header(protocol::REQUEST, request)
         });
         if let Ok(request) = built {
-            let _ = self.exchange(request, CONNECT).await;
+            let _ = self.exchange(request, CONNECT_TIMEOUT_MS).await;
         }
     }
 
-    /// Sends a non-idempotent request, once.
+    /// Sends a non-idempotent request without retries.
     pub async fn order(&self, key: &str, body: Bytes, left: Millis) -> Ordered {
         let built = self.request(Method::POST, protocol::ORDER, body, |r| {
             r.header(protocol::ORDER_KEY, key).header(protocol::DEADLINE, left.whole())
@@ -238,19 +238,19 @@
         }
     }
 
-    /// Asks for the snapshots held; the result tells whether the upstream says that it is leaving.
-    pub async fn load(&self, limit: Millis) -> Probe<Result<bool, Failure>> {
+    /// Requests the load report with the snapshots held; the result is whether the upstream is draining.
+    pub async fn load(&self, limit: Millis) -> Response<Result<bool, Failure>> {
         let built = self.request(Method::GET, protocol::LOAD, Bytes::new(), |r| r);
         let Ok(request) = built else {
-            return Probe { result: Err(Failure::Connect), held: None, incarnation: None };
+            return Response { result: Err(Failure::Connect), held: None, incarnation: None };
         };
         match self.exchange(request, limit).await {
-            Ok((_, headers, _)) => Probe {
-                held: reply::held(&headers),
+            Ok((_, headers, _)) => Response {
+                held: reply::held_snapshots(&headers),
                 incarnation: reply::incarnation(&headers),
                 result: Ok(reply::header(&headers, protocol::REASON) == Some(protocol::DRAINING)),
             },
-            Err((_, failure)) => Probe { result: Err(failure), held: None, incarnation: None },
+            Err((_, failure)) => Response { result: Err(failure), held: None, incarnation: None },
         }
     }
 
@@ -259,9 +259,10 @@
         method: Method,
         path: &str,
         body: Bytes,
-        with: impl FnOnce(hyper::http::request::Builder) -> hyper::http::request::Builder,
+        add_headers: impl FnOnce(hyper::http::request::Builder) -> hyper::http::request::Builder,
     ) -> Result<Request<Full<Bytes>>, hyper::http::Error> {
         let builder = Request::builder().method(method).uri(path);
-        with(builder.header(HOST, HeaderValue::from_static("upstream"))).body(Full::new(body))
+        add_headers(builder.header(HOST, HeaderValue::from_static("upstream")))
+            .body(Full::new(body))
     }
 }
--- a/crates/tgw-upstream/src/lib.rs
+++ b/crates/tgw-upstream/src/lib.rs
@@ -1,11 +1,11 @@
-//! The client of one upstream: pooled connections within a limit, warm before use, the deadline
-//! passed on, explicit cancellation, bounded reads, and typed errors that cost one attempt only.
+//! The client of one upstream: a bounded pool of connections opened in advance, deadlines passed
+//! on, explicit cancellation, bounded replies, and typed errors that fail only one attempt.
 
-/// The client of one upstream.
+/// The client and its connection pool.
 mod client;
-/// The protocol's names: paths and headers.
+/// The paths, headers and reasons of the protocol.
 pub mod protocol;
-/// Reading of replies.
+/// Decoding of replies.
 mod reply;
 
-pub use client::{Client, Ordered, Probe, Search};
+pub use client::{Client, Ordered, Response, Search};
--- a/crates/tgw-upstream/src/protocol.rs
+++ b/crates/tgw-upstream/src/protocol.rs
@@ -1,65 +1,65 @@
-//! The upstreams' protocol: paths, headers and reasons, as `docs/API.md` describes them.
+//! The paths, headers and reasons of the upstreams' protocol, which `docs/API.md` describes.
 
 use hyper::header::HeaderName;
 use tgw_dispatch::leaf::Held;
 use tgw_topology::{Layout, Snapshot};
 
-/// Search of one shard.
+/// Searches one shard.
 pub const SEARCH: &str = "/search";
-/// A non-idempotent request.
+/// Executes a non-idempotent request.
 pub const ORDER: &str = "/order";
-/// Stops a running search.
+/// Cancels a running search.
 pub const CANCEL: &str = "/cancel";
-/// Whether the upstream calls itself well.
+/// Reports whether the upstream is healthy.
 pub const HEALTH: &str = "/health";
-/// What the upstream says of its load and the snapshots it holds.
+/// Reports the upstream's load and the snapshots it holds.
 pub const LOAD: &str = "/load";
 
-/// Names one request to an upstream, for its cancellation.
+/// Identifies one request to an upstream, so that it can be cancelled.
 pub const REQUEST: HeaderName = HeaderName::from_static("x-request");
-/// Milliseconds until the result is of no use.
+/// Milliseconds until the deadline, after which the result is not used.
 pub const DEADLINE: HeaderName = HeaderName::from_static("x-deadline-ms");
-/// The snapshot that is asked for or was served, as `version.layout`.
+/// The snapshot that is requested or was searched, as `version.layout`.
 pub const SNAPSHOT: HeaderName = HeaderName::from_static("x-snapshot");
-/// The shard that is asked for or was served.
+/// The shard that is requested or was searched.
 pub const SHARD: HeaderName = HeaderName::from_static("x-shard");
 /// The snapshots that the upstream holds, separated by commas.
 pub const HELD: HeaderName = HeaderName::from_static("x-held");
-/// Why the upstream refused: one of the reasons below.
+/// Why the upstream rejected the request: one of the reasons below.
 pub const REASON: HeaderName = HeaderName::from_static("x-reason");
-/// The life of the upstream's process.
+/// The incarnation of the upstream's process.
 pub const INCARNATION: HeaderName = HeaderName::from_static("x-incarnation");
-/// The key of a non-idempotent request.
+/// The idempotency key of a non-idempotent request.
 pub const ORDER_KEY: HeaderName = HeaderName::from_static("x-order-key");
 
-/// It works on as much as it can.
+/// The upstream is at its concurrency limit.
 pub const SHED: &str = "shed";
-/// It is leaving.
+/// The upstream is draining.
 pub const DRAINING: &str = "draining";
-/// It does not hold the snapshot.
+/// The upstream does not hold the snapshot.
 pub const GONE: &str = "gone";
 /// The deadline passed.
 pub const EXPIRED: &str = "expired";
-/// It was asked to stop.
+/// The request was cancelled.
 pub const CANCELLED: &str = "cancelled";
 
-/// Writes a snapshot as `version.layout`.
+/// Formats a snapshot as `version.layout`.
 pub fn write_snapshot(snapshot: Snapshot) -> String {
     format!("{}.{}", snapshot.version, snapshot.layout.0)
 }
 
-/// Reads a snapshot.
+/// Parses a snapshot; `None` if it is malformed.
 pub fn read_snapshot(text: &str) -> Option<Snapshot> {
     let (version, layout) = text.trim().split_once('.')?;
     Some(Snapshot { version: version.parse().ok()?, layout: Layout(layout.parse().ok()?) })
 }
 
-/// Writes a list of snapshots.
+/// Formats a list of snapshots, separated by commas.
 pub fn write_held(held: &[Snapshot]) -> String {
     held.iter().copied().map(write_snapshot).collect::<Vec<_>>().join(",")
 }
 
-/// Reads a list of snapshots; `None` if any is malformed.
-pub fn read_held(text: &str) -> Option<Held> {
+/// Parses a list of snapshots; `None` if any of them is malformed.
+pub fn read_snapshots(text: &str) -> Option<Held> {
     text.split(',').filter(|s| !s.trim().is_empty()).map(read_snapshot).collect()
 }
--- a/crates/tgw-upstream/src/reply.rs
+++ b/crates/tgw-upstream/src/reply.rs
@@ -5,10 +5,14 @@
 use tgw_dispatch::leaf::{Failure, Held, Reply};
 use tgw_topology::Shard;
 
-/// The reply that a status, headers and body amount to. Errors: the reply is not understood.
-pub(crate) fn read(status: StatusCode, headers: &HeaderMap, body: Bytes) -> Result<Reply, Failure> {
+/// Decodes a reply from its status, headers and body. Fails if the reply does not follow the protocol.
+pub(crate) fn decode(
+    status: StatusCode,
+    headers: &HeaderMap,
+    body: Bytes,
+) -> Result<Reply, Failure> {
     if status == StatusCode::OK {
-        return items(headers, body);
+        return decode_items(headers, body);
     }
     match header(headers, protocol::REASON) {
         Some(protocol::SHED) => Ok(Reply::Shed),
@@ -20,21 +24,21 @@
     }
 }
 
-fn items(headers: &HeaderMap, body: Bytes) -> Result<Reply, Failure> {
+fn decode_items(headers: &HeaderMap, body: Bytes) -> Result<Reply, Failure> {
     let snapshot = header(headers, protocol::SNAPSHOT).and_then(protocol::read_snapshot);
     let shard = header(headers, protocol::SHARD).and_then(|s| s.parse().ok()).map(Shard);
     let (Some(snapshot), Some(shard)) = (snapshot, shard) else { return Err(Failure::Malformed) };
-    // The items are passed on as they are, so a truncated array would break the whole answer.
+    // The items are passed on unchanged, so a truncated array would make the merged answer invalid.
     let valid = serde_json::from_slice::<Vec<&RawValue>>(&body).is_ok();
     if valid { Ok(Reply::Items { snapshot, shard, items: body }) } else { Err(Failure::Malformed) }
 }
 
-/// The snapshots that the reply says are held.
-pub(crate) fn held(headers: &HeaderMap) -> Option<Held> {
-    header(headers, protocol::HELD).and_then(protocol::read_held)
+/// The snapshots that the upstream holds according to the reply.
+pub(crate) fn held_snapshots(headers: &HeaderMap) -> Option<Held> {
+    header(headers, protocol::HELD).and_then(protocol::read_snapshots)
 }
 
-/// The life of the upstream's process that the reply names.
+/// The incarnation of the upstream's process according to the reply.
 pub(crate) fn incarnation(headers: &HeaderMap) -> Option<u64> {
     header(headers, protocol::INCARNATION)?.parse().ok()
 }
--- a/crates/tgw-upstream/tests/protocol.rs
+++ b/crates/tgw-upstream/tests/protocol.rs
@@ -1,4 +1,4 @@
-//! Tests of what is read from upstreams' headers.
+//! Tests of parsing the headers of upstreams' replies.
 
 #![allow(clippy::expect_used, clippy::unwrap_used, clippy::panic)] // A test fails by panic.
 
@@ -7,7 +7,7 @@
     test_runner::{Config, RngSeed},
 };
 use tgw_topology::{Layout, Snapshot};
-use tgw_upstream::protocol::{read_held, read_snapshot, write_held, write_snapshot};
+use tgw_upstream::protocol::{read_snapshot, read_snapshots, write_held, write_snapshot};
 
 fn config() -> ProptestConfig {
     Config { rng_seed: RngSeed::Fixed(1), failure_persistence: None, ..Config::default() }
@@ -18,28 +18,28 @@
 }
 
 #[test]
-fn one_malformed_snapshot_spoils_the_list() {
-    assert_eq!(read_held("1.1,2.1").map(|h| h.len()), Some(2));
-    assert_eq!(read_held("1.1,2").map(|h| h.len()), None);
-    assert_eq!(read_held("").map(|h| h.len()), Some(0));
+fn a_list_with_a_malformed_snapshot_is_rejected() {
+    assert_eq!(read_snapshots("1.1,2.1").map(|h| h.len()), Some(2));
+    assert_eq!(read_snapshots("1.1,2").map(|h| h.len()), None);
+    assert_eq!(read_snapshots("").map(|h| h.len()), Some(0));
 }
 
 proptest! {
     #![proptest_config(config())]
 
-    // An upstream sends nonsense in a header, and the process ends in a panic.
+    // Guards against a panic of the process when an upstream sends a malformed header.
     #[test]
-    fn any_text_is_read_or_refused(text in "\\PC{0,60}") {
+    fn parsing_any_text_does_not_panic(text in "\\PC{0,60}") {
         let _ = read_snapshot(&text);
-        let _ = read_held(&text);
+        let _ = read_snapshots(&text);
     }
 
     #[test]
-    fn what_is_written_reads_back(version: u32, layout: u32, more in 0usize..4) {
+    fn written_snapshots_are_read_back(version: u32, layout: u32, count in 0usize..4) {
         let first = snapshot(version, layout);
         prop_assert_eq!(read_snapshot(&write_snapshot(first)), Some(first));
-        let list = vec![first; more];
-        let read = read_held(&write_held(&list)).expect("a list");
+        let list = vec![first; count];
+        let read = read_snapshots(&write_held(&list)).expect("a list");
         prop_assert_eq!(read.to_vec(), list);
     }
 }
