--- a/crates/tgw-platform/src/http.rs
+++ b/crates/tgw-platform/src/http.rs
@@ -1,6 +1,6 @@
 use crate::{
     object::{Error, LIMIT_BYTES, List, Object, Version},
-    store::{Expect, Store, Wait},
+    store::{Expect, Store, StoreFuture},
 };
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::{Method, Request, StatusCode, body::Bytes};
@@ -13,10 +13,10 @@
 use std::{net::SocketAddr, time::Duration};
 use tgw_clock::Millis;
 
-/// A list may hold many objects; what is larger than this is refused unread.
-const REPLY_LIMIT: usize = 64 * LIMIT_BYTES;
+/// Largest reply body that is accepted. A list may hold many objects, hence a multiple of the largest value.
+const MAX_REPLY_BYTES: usize = 64 * LIMIT_BYTES;
 
-/// The platform over HTTP/JSON.
+/// Client of the platform's object API over HTTP and JSON.
 #[derive(Clone, Debug)]
 pub struct Http {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -24,14 +24,14 @@
     timeout: Millis,
 }
 
-/// What a write answers.
+/// The body of the reply to a write.
 #[derive(Deserialize)]
-struct Written {
+struct WriteReply {
     version: Version,
 }
 
 impl Http {
-    /// An adapter to the platform at `addr`; each call gets `timeout`. Connects on first use.
+    /// Creates a client of the platform at `addr` with a timeout for each call. Connects on first use.
     pub fn open(addr: SocketAddr, timeout: Millis) -> Self {
         let client = Client::builder(TokioExecutor::new()).build_http();
         Self { client, addr, timeout }
@@ -42,7 +42,7 @@
         method: Method,
         path: String,
         body: Option<&Value>,
-        extra: Millis,
+        wait: Millis,
     ) -> Result<(StatusCode, Bytes), Error> {
         let bytes = body.map(|v| Bytes::from(v.to_string())).unwrap_or_default();
         let request = Request::builder()
@@ -52,15 +52,15 @@
             .map_err(|e| unavailable(&e))?;
         let exchange = async {
             let response = self.client.request(request).await.map_err(|e| {
-                // A connection that was never made carried no request; anything later may have.
+                // If connecting failed, no request was sent. After any later error it may have been.
                 if e.is_connect() { unavailable(&e) } else { unknown(&e) }
             })?;
             let status = response.status();
-            let body = Limited::new(response.into_body(), REPLY_LIMIT);
+            let body = Limited::new(response.into_body(), MAX_REPLY_BYTES);
             let bytes = body.collect().await.map_err(|e| unknown(&e))?.to_bytes();
             Ok((status, bytes))
         };
-        let limit: Duration = (self.timeout + extra).into();
+        let limit: Duration = (self.timeout + wait).into();
         match tokio::time::timeout(limit, exchange).await {
             Ok(result) => result,
             Err(_) => Err(Error::Unknown { reason: format!("no reply in {}", self.timeout) }),
@@ -80,7 +80,7 @@
     match status {
         StatusCode::OK => serde_json::from_slice(&bytes).map_err(|e| unknown(&e)),
         StatusCode::CONFLICT => {
-            let current = serde_json::from_slice::<Written>(&bytes).map_or(0, |w| w.version);
+            let current = serde_json::from_slice::<WriteReply>(&bytes).map_or(0, |w| w.version);
             Err(Error::Conflict { current })
         }
         StatusCode::GONE => Err(Error::Gone),
@@ -92,7 +92,7 @@
 }
 
 impl Store for Http {
-    fn get<'a>(&'a self, kind: &'a str, name: &'a str) -> Wait<'a, Option<Object>> {
+    fn get<'a>(&'a self, kind: &'a str, name: &'a str) -> StoreFuture<'a, Option<Object>> {
         Box::pin(async move {
             let path = format!("/objects/{kind}/{name}");
             let reply = self.call(Method::GET, path, None, Millis::ZERO).await?;
@@ -106,7 +106,7 @@
         name: &'a str,
         expect: Expect,
         value: &'a Value,
-    ) -> Wait<'a, Version> {
+    ) -> StoreFuture<'a, Version> {
         Box::pin(async move {
             let expected = match expect {
                 Expect::Absent => 0,
@@ -114,25 +114,25 @@
             };
             let path = format!("/objects/{kind}/{name}?if={expected}");
             let reply = self.call(Method::PUT, path, Some(value), Millis::ZERO).await?;
-            decode::<Written>(reply).map(|w| w.version)
+            decode::<WriteReply>(reply).map(|w| w.version)
         })
     }
 
-    fn delete<'a>(&'a self, kind: &'a str, name: &'a str, version: Version) -> Wait<'a, ()> {
+    fn delete<'a>(&'a self, kind: &'a str, name: &'a str, version: Version) -> StoreFuture<'a, ()> {
         Box::pin(async move {
             let path = format!("/objects/{kind}/{name}?if={version}");
             let reply = self.call(Method::DELETE, path, None, Millis::ZERO).await?;
-            decode::<Written>(reply).map(|_| ())
+            decode::<WriteReply>(reply).map(|_| ())
         })
     }
 
-    fn list<'a>(&'a self, kind: &'a str) -> Wait<'a, List> {
+    fn list<'a>(&'a self, kind: &'a str) -> StoreFuture<'a, List> {
         Box::pin(async move {
             decode(self.call(Method::GET, format!("/objects/{kind}"), None, Millis::ZERO).await?)
         })
     }
 
-    fn watch<'a>(&'a self, kind: &'a str, from: Version, wait: Millis) -> Wait<'a, List> {
+    fn watch<'a>(&'a self, kind: &'a str, from: Version, wait: Millis) -> StoreFuture<'a, List> {
         Box::pin(async move {
             let path = format!("/watch/{kind}?from={from}&wait_ms={}", wait.whole());
             decode(self.call(Method::GET, path, None, wait).await?)
--- a/crates/tgw-platform/src/lib.rs
+++ b/crates/tgw-platform/src/lib.rs
@@ -1,13 +1,13 @@
-//! The platform's object API as the tier uses it: objects of a kind with a name and a version,
-//! conditional updates, lists and watches. [`Store`] is the border; [`Http`] is its one adapter.
+//! The platform's object API as this tier uses it: objects with a kind, a name and a version,
+//! conditional writes, lists and watches. [`Store`] is the interface; [`Http`] implements it.
 
-/// The adapter to the platform's HTTP interface.
+/// The implementation over HTTP.
 mod http;
 /// Objects, versions and errors.
 pub mod object;
-/// The border.
+/// The interface.
 mod store;
 
 pub use http::Http;
 pub use object::{Error, Object, Version};
-pub use store::{Expect, PROBED, Store, Wait};
+pub use store::{Expect, PROBE_NAME, Store, StoreFuture};
--- a/crates/tgw-platform/src/object.rs
+++ b/crates/tgw-platform/src/object.rs
@@ -4,56 +4,56 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// A version of the whole store; each write makes a higher one.
+/// A version of the whole store; each write increases it.
 pub type Version = u64;
 
-/// Largest value that one object holds, in bytes.
+/// Largest value of an object, in bytes.
 pub const LIMIT_BYTES: usize = 1 << 20;
 
-/// One object.
+/// An object of the store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Object {
-    /// Its kind.
+    /// The kind, which groups objects for lists and watches.
     pub kind: String,
-    /// Its name, unique within the kind.
+    /// The name, unique within the kind.
     pub name: String,
     /// The version of its last change.
     pub version: Version,
-    /// Its value; `null` in a watch says that it was deleted.
+    /// The value; `null` in the reply to a watch if the object was deleted.
     pub value: Value,
 }
 
-/// The objects of a kind, or what changed among them, as of a version.
+/// The objects of a kind, or those that changed, as of a version of the store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct List {
-    /// The store's version.
+    /// The version of the store.
     pub version: Version,
-    /// The objects.
+    /// The objects; of a watch, those that changed.
     pub objects: Vec<Object>,
 }
 
-/// Why a call brought nothing.
+/// Why a call to the store failed.
 #[derive(Clone, Debug, Display, StdError, PartialEq, Eq)]
 pub enum Error {
-    /// The object's version is not the one expected; nothing was written.
+    /// The object is not at the expected version; nothing was written.
     #[display("conflict: the object is at version {current}")]
     Conflict {
-        /// Its version; zero if there is no such object.
+        /// The current version; zero if the object does not exist.
         current: Version,
     },
-    /// The watch starts before the history that is kept: list again.
-    #[display("gone: the history does not reach back so far")]
+    /// The watch starts before the retained history; the caller must list again.
+    #[display("gone: the version is older than the retained history")]
     Gone,
     /// The platform refused the call or could not be reached; nothing was written.
     #[display("unavailable: {reason}")]
     Unavailable {
-        /// What was seen.
+        /// The underlying error or the status.
         reason: String,
     },
-    /// The call was sent and its reply was lost: a write may have taken effect or not.
+    /// The call may have been sent and has no valid reply: a write may have taken effect.
     #[display("unknown: {reason}")]
     Unknown {
-        /// What was seen.
+        /// The underlying error or the status.
         reason: String,
     },
 }
