--- a/crates/tgw-clock/src/clock.rs
+++ b/crates/tgw-clock/src/clock.rs
@@ -7,39 +7,39 @@
 
 /// A source of the current time.
 pub trait Clock: Send + Sync {
-    /// The time since the clock was made; never decreases.
+    /// The time since the clock was created; never decreases.
     fn now(&self) -> Millis;
 }
 
-/// The time since the machine's boot, counted from the clock's construction.
+/// The time since the clock was created, including time during which the machine was suspended.
 ///
-/// A machine may be suspended for seconds. The usual monotonic clock stands still meanwhile, so that a
-/// process would take its idle connections for fresh, its peers' words for new, and hand upstreams time
-/// that their callers no longer have. This one goes on.
+/// A machine may be suspended for seconds. `CLOCK_MONOTONIC` stops during a suspend, so the process
+/// would reuse stale idle connections, treat old peer reports as recent, and send upstreams deadlines
+/// that have already passed for their callers. `CLOCK_BOOTTIME` keeps counting.
 #[derive(Debug)]
 pub struct Monotonic(Instant);
 
-/// A point of the clock that goes on through a suspend; where the machine has none, of the usual one.
+/// A reading of `CLOCK_BOOTTIME`, or of the standard monotonic clock on machines without it.
 #[derive(Copy, Clone, Debug)]
 enum Instant {
     Boot(Duration),
-    Steady(std::time::Instant),
+    Std(std::time::Instant),
 }
 
 impl Instant {
     fn now() -> Self {
-        boot().map_or_else(|| Self::Steady(std::time::Instant::now()), Self::Boot)
+        boot_time().map_or_else(|| Self::Std(std::time::Instant::now()), Self::Boot)
     }
 
     fn elapsed(self) -> Duration {
         match self {
-            Self::Boot(since) => boot().unwrap_or(since).saturating_sub(since),
-            Self::Steady(since) => since.elapsed(),
+            Self::Boot(start) => boot_time().unwrap_or(start).saturating_sub(start),
+            Self::Std(start) => start.elapsed(),
         }
     }
 }
 
-fn boot() -> Option<Duration> {
+fn boot_time() -> Option<Duration> {
     clock_gettime(ClockId::CLOCK_BOOTTIME).ok().map(Duration::from)
 }
 
@@ -55,14 +55,14 @@
     }
 }
 
-/// A clock that a test moves by hand.
+/// A clock that only advances when a test advances it.
 #[derive(Debug, Default)]
 pub struct Fake(AtomicU64);
 
 impl Fake {
-    /// Moves the clock on by `span`.
-    pub fn advance(&self, span: Millis) {
-        self.0.fetch_add(span.as_micros(), Ordering::SeqCst);
+    /// Advances the clock by `duration`.
+    pub fn advance(&self, duration: Millis) {
+        self.0.fetch_add(duration.as_micros(), Ordering::SeqCst);
     }
 }
 
--- a/crates/tgw-clock/src/freeze.rs
+++ b/crates/tgw-clock/src/freeze.rs
@@ -7,30 +7,30 @@
 struct Shared {
     frozen: AtomicBool,
     guard: Mutex<()>,
-    thawed: Condvar,
+    resumed: Condvar,
 }
 
-/// Stops the threads of one VM for a while, as a frozen machine would. Demos and tests freeze VMs
-/// that share a process; elsewhere nothing ever does, and a check costs one load.
+/// A switch that blocks the threads of one VM, to simulate a suspended machine. Demos and tests use
+/// it on VMs that share a process; a production process never sets it and pays one atomic load a check.
 #[derive(Clone, Debug, Default)]
 pub struct Freeze(Arc<Shared>);
 
 impl Freeze {
-    /// Freezes the threads that call [`Freeze::hold`], or lets them go on.
+    /// Blocks the threads that call [`Freeze::hold`], or resumes them.
     pub fn set(&self, frozen: bool) {
         let _guard = self.0.guard.lock().unwrap_or_else(PoisonError::into_inner);
         self.0.frozen.store(frozen, Ordering::SeqCst);
-        self.0.thawed.notify_all();
+        self.0.resumed.notify_all();
     }
 
-    /// Blocks the thread while frozen.
+    /// Blocks the calling thread while the switch is set.
     pub fn hold(&self) {
         if !self.0.frozen.load(Ordering::Relaxed) {
             return;
         }
         let mut guard = self.0.guard.lock().unwrap_or_else(PoisonError::into_inner);
         while self.0.frozen.load(Ordering::SeqCst) {
-            guard = self.0.thawed.wait(guard).unwrap_or_else(PoisonError::into_inner);
+            guard = self.0.resumed.wait(guard).unwrap_or_else(PoisonError::into_inner);
         }
     }
 }
--- a/crates/tgw-clock/src/lib.rs
+++ b/crates/tgw-clock/src/lib.rs
@@ -1,7 +1,7 @@
-//! The one time type of the product and the clocks that produce it.
+//! The time type that all crates share, and the clocks that produce it.
 //!
-//! Decision cores never read a clock: they are handed a [`Millis`]. Only the threads round them
-//! own a [`Clock`].
+//! The decision logic never reads a clock: the current time is passed in as a [`Millis`]. Only the
+//! threads that run it own a [`Clock`].
 
 mod clock;
 mod freeze;
--- a/crates/tgw-clock/src/millis.rs
+++ b/crates/tgw-clock/src/millis.rs
@@ -4,11 +4,12 @@
     ops::{Add, AddAssign, Sub},
 };
 
-const MICROS_IN_MS: u64 = 1000;
+const MICROS_PER_MS: u64 = 1000;
 
-/// A point in time or a span, in milliseconds with a resolution of one thousandth.
+/// A point in time or a duration, in milliseconds with a resolution of one microsecond.
 ///
-/// Points count from the start of the process. Arithmetic saturates at zero and at [`Millis::MAX`].
+/// Points in time count from the start of the process. Arithmetic saturates at zero and at
+/// [`Millis::MAX`].
 #[derive(
     Copy, Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -16,42 +17,42 @@
 pub struct Millis(u64);
 
 impl Millis {
-    /// Zero: the start of the process, or an empty span.
+    /// The start of the process, or a duration of zero.
     pub const ZERO: Self = Self(0);
-    /// Further than any deadline.
+    /// Later than any deadline.
     pub const MAX: Self = Self(u64::MAX);
 
-    /// Whole milliseconds.
+    /// Creates a value from whole milliseconds.
     pub const fn new(ms: u64) -> Self {
-        Self(ms.saturating_mul(MICROS_IN_MS))
+        Self(ms.saturating_mul(MICROS_PER_MS))
     }
 
-    /// Thousandths of a millisecond.
+    /// Creates a value from microseconds.
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
 
-    /// Fractional milliseconds; negative and NaN become zero.
+    /// Creates a value from fractional milliseconds; negative values and NaN become zero.
     pub fn from_f64(ms: f64) -> Self {
-        Self((ms * MICROS_IN_MS as f64).round().max(0.0) as u64)
+        Self((ms * MICROS_PER_MS as f64).round().max(0.0) as u64)
     }
 
-    /// Fractional milliseconds.
+    /// The value in fractional milliseconds.
     pub fn as_f64(self) -> f64 {
-        self.0 as f64 / MICROS_IN_MS as f64
+        self.0 as f64 / MICROS_PER_MS as f64
     }
 
-    /// Whole milliseconds, rounded down.
+    /// The value in whole milliseconds, rounded down.
     pub const fn whole(self) -> u64 {
-        self.0 / MICROS_IN_MS
+        self.0 / MICROS_PER_MS
     }
 
-    /// Thousandths of a millisecond.
+    /// The value in microseconds.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// This span times `factor`.
+    /// This duration multiplied by `factor`.
     pub fn scale(self, factor: f64) -> Self {
         Self::from_f64(self.as_f64() * factor)
     }
@@ -84,13 +85,13 @@
 }
 
 impl From<Millis> for std::time::Duration {
-    fn from(span: Millis) -> Self {
-        Self::from_micros(span.0)
+    fn from(duration: Millis) -> Self {
+        Self::from_micros(duration.0)
     }
 }
 
 impl From<std::time::Duration> for Millis {
-    fn from(span: std::time::Duration) -> Self {
-        Self(u64::try_from(span.as_micros()).unwrap_or(u64::MAX))
+    fn from(duration: std::time::Duration) -> Self {
+        Self(u64::try_from(duration.as_micros()).unwrap_or(u64::MAX))
     }
 }
--- a/crates/tgw-settings/src/finding.rs
+++ b/crates/tgw-settings/src/finding.rs
@@ -1,55 +1,55 @@
-//! What is wrong in a settings file, and where.
+//! Mistakes in a settings file and their locations.
 
 use derive_more::Display;
 
-/// One mistake; a check reports all of them.
+/// One mistake in a settings file.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 #[display("{file}:{line}: {section}.{key}: {kind}")]
 pub struct Finding {
-    /// The file as it was named.
+    /// The file name as given by the caller.
     pub file: String,
-    /// The line, counted from one; zero when nothing stands there.
+    /// The line, counted from one; zero if the finding belongs to no line.
     pub line: usize,
     /// The section's name.
     pub section: String,
     /// The key's name.
     pub key: String,
-    /// What is wrong.
+    /// The kind of mistake.
     pub kind: Kind,
 }
 
 /// The kinds of mistakes.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum Kind {
-    /// The file cannot be read.
+    /// The file could not be read.
     #[display("cannot read the file: {_0}")]
     Unreadable(String),
-    /// The text is not INI.
-    #[display("not readable as INI: {_0}")]
+    /// The text is not valid INI.
+    #[display("not valid INI: {_0}")]
     Syntax(String),
-    /// No setting has this name.
+    /// The section has no setting of this name.
     #[display("unknown key")]
     UnknownKey,
-    /// No section has this name.
+    /// There is no section of this name.
     #[display("unknown section")]
     UnknownSection,
-    /// A setting without a default is absent.
+    /// A setting without a default value is missing.
     #[display("missing; expected {_0}")]
     Missing(&'static str),
-    /// The same key stands twice in a section.
+    /// The key occurs more than once in its section.
     #[display("given twice")]
     Twice,
-    /// The value cannot be understood; the value itself is not repeated, as it may be a secret.
+    /// The value cannot be parsed. The value is not included, as it may be a secret.
     #[display("not {_0}")]
     Malformed(&'static str),
-    /// A number lies outside its bounds.
+    /// A number is outside its allowed range.
     #[display("{found} is outside {low} to {high}")]
     Range {
-        /// The number.
+        /// The number in the file.
         found: u64,
-        /// The least allowed.
+        /// The smallest allowed value.
         low: u64,
-        /// The most allowed.
+        /// The largest allowed value.
         high: u64,
     },
 }
--- a/crates/tgw-settings/src/lib.rs
+++ b/crates/tgw-settings/src/lib.rs
@@ -1,12 +1,13 @@
-//! The settings of one VM's process, written in INI.
+//! The settings of one VM's process, read from an INI file.
 //!
-//! A file is read whole: every mistake becomes a [`Finding`] with file, line, section and key.
+//! Reading does not stop at the first mistake: each one becomes a [`Finding`] with file, line, section
+//! and key.
 
-/// What is wrong in a settings file, and where.
+/// Mistakes in a settings file and their locations.
 pub mod finding;
-/// Reads and checks a settings file.
+/// Parses and validates a settings file.
 mod read;
-/// The settings themselves.
+/// The types of the settings.
 mod settings;
 
 pub use finding::Finding;
--- a/crates/tgw-settings/src/settings.rs
+++ b/crates/tgw-settings/src/settings.rs
@@ -1,97 +1,98 @@
 use std::{fmt, net::SocketAddr};
 
-/// Everything that one process is told at its start.
+/// All settings of one VM's process.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Who and where the VM is.
+    /// The VM's name and location.
     pub vm: Vm,
-    /// Where it listens.
+    /// Addresses that the process listens on, and limits on requests.
     pub listen: Listen,
     /// The platform's object API.
     pub platform: Platform,
-    /// The other VMs.
+    /// Communication with the other VMs, and the operators' token.
     pub peer: Peer,
-    /// Network delays.
+    /// Initial network delays.
     pub network: Network,
-    /// Logs.
+    /// Logging.
     pub log: Log,
 }
 
-/// Who and where the VM is.
+/// The VM's name and location.
 #[derive(Clone, Debug)]
 pub struct Vm {
-    /// Its name, unique in the fleet.
+    /// The VM's name, unique in the fleet.
     pub name: String,
-    /// Its region's number.
+    /// The number of the VM's region.
     pub region: u8,
-    /// Its failure domain's number.
+    /// The number of the VM's failure domain.
     pub domain: u8,
-    /// How long a draining VM still accepts while the balancer lags, in ms.
+    /// Time in ms during which a draining VM still accepts requests, as the load balancer notices a
+    /// change in readiness with a delay.
     pub drain_grace_ms: u64,
 }
 
-/// Where the process listens.
+/// Addresses that the process listens on, and limits on requests.
 #[derive(Clone, Debug)]
 pub struct Listen {
-    /// For callers.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// For operators.
+    /// Address for operators.
     pub operators: SocketAddr,
-    /// For peers, UDP and TCP.
+    /// Address for peers, both UDP and TCP.
     pub peers: SocketAddr,
-    /// Largest request body in bytes.
+    /// Largest size of a request body, in bytes.
     pub body_limit: u64,
-    /// Time for a request's head and body, in ms.
+    /// Timeout for reading a request's head, and for reading its body, in ms.
     pub read_timeout_ms: u64,
-    /// Queries that the VM runs at once over all services.
+    /// Largest number of concurrent queries on the VM over all services.
     pub concurrency: u64,
 }
 
 /// The platform's object API.
 #[derive(Clone, Debug)]
 pub struct Platform {
-    /// Its address.
+    /// Address of the API.
     pub addr: SocketAddr,
-    /// Time for one call, in ms.
+    /// Timeout of one call, in ms.
     pub timeout_ms: u64,
 }
 
-/// The other VMs.
+/// Communication with the other VMs, and the operators' token.
 #[derive(Clone, Debug)]
 pub struct Peer {
-    /// Peers to ask first; the platform's list of VMs is used besides.
+    /// Peers to contact at startup, in addition to the platform's list of VMs.
     pub seeds: Vec<SocketAddr>,
-    /// Key that frames are signed with.
+    /// Key that signs frames.
     pub key: Key,
-    /// A further key that is accepted while keys are rotated.
+    /// Second key that is accepted during a key rotation.
     pub old_key: Option<Key>,
-    /// Token that operators' calls carry.
+    /// Token that operators must send with admin requests.
     pub admin_token: Secret,
 }
 
-/// One-way network delays, in microseconds, that replica choice starts from.
+/// One-way network delays in microseconds, used as initial estimates for replica selection.
 #[derive(Copy, Clone, Debug)]
 pub struct Network {
-    /// Within a failure domain.
+    /// Delay within a failure domain.
     pub local_us: u64,
-    /// Between failure domains of a region.
+    /// Delay between failure domains of a region.
     pub domains_us: u64,
-    /// Between regions.
+    /// Delay between regions.
     pub regions_us: u64,
 }
 
-/// Logs.
+/// Logging.
 #[derive(Clone, Debug)]
 pub struct Log {
-    /// JSON lines instead of text.
+    /// Whether log lines are JSON instead of text.
     pub json: bool,
-    /// Filter, as `info` or `tgw::decision=debug`.
+    /// Log filter such as `info` or `tgw::decision=debug`.
     pub filter: String,
-    /// One in this many queries has its decisions logged.
+    /// Sampling interval: the decisions of one query in this many are logged.
     pub sample: u64,
 }
 
-/// Text that is never printed.
+/// A secret text that its `Debug` output omits.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Secret(pub String);
 
@@ -101,7 +102,7 @@
     }
 }
 
-/// A frame key of 32 bytes that is never printed.
+/// A 32-byte frame key that its `Debug` output omits.
 #[derive(Copy, Clone, PartialEq, Eq)]
 pub struct Key(pub [u8; 32]);
 
--- a/crates/tgw-settings/tests/settings.rs
+++ b/crates/tgw-settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Tests of reading and checking settings files.
+//! Tests of parsing and validating settings files.
 
 #![allow(clippy::expect_used, clippy::unwrap_used, clippy::panic)] // A test fails by panic.
 
@@ -23,7 +23,7 @@
 #[test_case("name = entry-1", "", "example.ini:3: vm.name: missing; expected a name unique in the fleet"; "missing")]
 #[test_case("addr = 127.0.0.1:7900", "addr = nowhere", "platform.addr: not an address"; "bad address")]
 #[test_case("[log]", "[logs]", "logs.: unknown section"; "unknown section")]
-fn mistake_is_found_with_its_place(from: &str, to: &str, expected: &str) {
+fn mistake_is_reported_with_its_location(from: &str, to: &str, expected: &str) {
     let findings = tgw_settings::parse("example.ini", &EXAMPLE.replacen(from, to, 1))
         .expect_err("the file is wrong");
     let texts: Vec<String> = findings.iter().map(ToString::to_string).collect();
@@ -37,8 +37,8 @@
     assert_eq!(findings.len(), 2, "{findings:?}");
 }
 
-// An operator pastes the output of a failed start into a ticket. The frame key was mistyped, the
-// finding repeated its value, and the key was out.
+// A finding about a mistyped frame key must not contain its value: operators paste the output of a
+// failed start into tickets, which would disclose the key.
 #[test]
 fn secrets_are_never_printed() {
     let secret = "3f1c0b5a7e6d4c2b1a09f8e7d6c5b4a3928170ffeeddccbbaa9988776655443z";
@@ -58,9 +58,9 @@
 proptest! {
     #![proptest_config(config())]
 
-    // A damaged file ends the start in a panic instead of findings.
+    // Parsing a damaged file must return findings and must not panic.
     #[test]
-    fn any_damage_is_settings_or_findings(at in 0usize..4000, with in "\\PC{0,4}") {
+    fn damaged_file_gives_settings_or_findings(at in 0usize..4000, with in "\\PC{0,4}") {
         let mut text = EXAMPLE.to_owned();
         let mut at = at % text.len();
         while !text.is_char_boundary(at) || !text.is_char_boundary(at + 1) {
--- a/crates/tgw-wire/src/keys.rs
+++ b/crates/tgw-wire/src/keys.rs
@@ -1,18 +1,18 @@
 use std::fmt;
 
-/// Bytes of a key.
-pub(crate) const KEY: usize = 32;
+/// Size of a key.
+pub(crate) const KEY_BYTES: usize = 32;
 
-/// The key that frames are signed with, and one more that is accepted while keys are rotated.
+/// The key that signs frames, and an optional second key that is also accepted during a key rotation.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Keys {
-    pub(crate) current: [u8; KEY],
-    pub(crate) old: Option<[u8; KEY]>,
+    pub(crate) current: [u8; KEY_BYTES],
+    pub(crate) old: Option<[u8; KEY_BYTES]>,
 }
 
 impl Keys {
-    /// Keys for signing with `current` and accepting `old` as well.
-    pub fn new(current: [u8; KEY], old: Option<[u8; KEY]>) -> Self {
+    /// Creates keys that sign with `current` and accept both `current` and `old`.
+    pub fn new(current: [u8; KEY_BYTES], old: Option<[u8; KEY_BYTES]>) -> Self {
         Self { current, old }
     }
 }
--- a/crates/tgw-wire/src/lib.rs
+++ b/crates/tgw-wire/src/lib.rs
@@ -1,10 +1,10 @@
-//! Frames between the system's own processes: versioned, bounded in size, signed with a keyed hash.
-//! What a frame carries is any `postcard` value of the crate that owns the message.
+//! Frames exchanged by the processes of the query tier: versioned, limited in size, and signed with a
+//! keyed hash. The payload is a `postcard` value whose type belongs to the crate that sends it.
 
-/// Signing and checking of frames.
+/// Encodes, signs, verifies and decodes frames.
 mod frame;
-/// The keys that frames are signed with.
+/// The keys that sign frames.
 mod keys;
 
-pub use frame::{Error, FRAME_LIMIT, HEAD, LENGTH, open, seal};
+pub use frame::{Error, FRAME_LIMIT, HEADER_BYTES, LENGTH, open, seal};
 pub use keys::Keys;
--- a/crates/tgw-wire/tests/wire.rs
+++ b/crates/tgw-wire/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Tests of frames: keys and their rotation, strangers, damaged and random input.
+//! Tests of frames: key rotation, unauthenticated senders, damaged and random input.
 
 #![allow(clippy::expect_used, clippy::unwrap_used, clippy::panic)] // A test fails by panic.
 
@@ -6,33 +6,33 @@
     prelude::*,
     test_runner::{Config, RngSeed},
 };
-use tgw_wire::{Error, FRAME_LIMIT, HEAD, Keys, open, seal};
+use tgw_wire::{Error, FRAME_LIMIT, HEADER_BYTES, Keys, open, seal};
 
-const OLD: [u8; 32] = [1; 32];
-const NEW: [u8; 32] = [2; 32];
+const OLD_KEY: [u8; 32] = [1; 32];
+const NEW_KEY: [u8; 32] = [2; 32];
 
 fn value() -> (u64, String, Vec<u32>) {
     (7, "text".into(), vec![1, 2, 3])
 }
 
-// During a rotation some VMs sign with the old key and some with the new one, and one half of the fleet
-// declares the other dead.
+// During a key rotation some VMs sign with the old key and some with the new one. If only one key were
+// accepted, each half of the fleet would declare the other half dead.
 #[test]
 fn both_keys_are_accepted_during_rotation() {
-    let before = Keys::new(OLD, Some(NEW));
-    let after = Keys::new(NEW, Some(OLD));
-    for (from, to) in [(&before, &after), (&after, &before)] {
-        let frame = seal(from, &value()).expect("it fits");
-        assert_eq!(open::<(u64, String, Vec<u32>)>(to, &frame), Ok(value()));
+    let before = Keys::new(OLD_KEY, Some(NEW_KEY));
+    let after = Keys::new(NEW_KEY, Some(OLD_KEY));
+    for (sender, receiver) in [(&before, &after), (&after, &before)] {
+        let frame = seal(sender, &value()).expect("the frame fits the limit");
+        assert_eq!(open::<(u64, String, Vec<u32>)>(receiver, &frame), Ok(value()));
     }
-    let done = Keys::new(NEW, None);
-    let frame = seal(&before, &value()).expect("it fits");
-    assert_eq!(open::<(u64, String, Vec<u32>)>(&done, &frame), Err(Error::Signature));
+    let rotated = Keys::new(NEW_KEY, None);
+    let frame = seal(&before, &value()).expect("the frame fits the limit");
+    assert_eq!(open::<(u64, String, Vec<u32>)>(&rotated, &frame), Err(Error::Signature));
 }
 
 #[test]
-fn frame_beyond_the_limit_is_not_written() {
-    let keys = Keys::new(OLD, None);
+fn frame_larger_than_the_limit_is_an_error() {
+    let keys = Keys::new(OLD_KEY, None);
     let large = vec![0_u8; FRAME_LIMIT];
     assert!(matches!(seal(&keys, &large), Err(Error::Size(_))));
 }
@@ -44,28 +44,28 @@
 proptest! {
     #![proptest_config(config())]
 
-    // A stranger or a broken VM sends anything at all, and the process ends in a panic.
+    // An unauthenticated sender or a faulty VM sends arbitrary bytes: decoding must not panic.
     #[test]
-    fn random_bytes_are_refused(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
-        let keys = Keys::new(OLD, Some(NEW));
+    fn random_bytes_are_rejected(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+        let keys = Keys::new(OLD_KEY, Some(NEW_KEY));
         prop_assert!(open::<(u64, String, Vec<u32>)>(&keys, &bytes).is_err());
     }
 
     #[test]
-    fn any_changed_byte_is_refused(at in 0usize..64, flip in 1u8..) {
-        let keys = Keys::new(OLD, None);
-        let mut frame = seal(&keys, &value()).expect("it fits");
+    fn frame_with_any_changed_byte_is_rejected(at in 0usize..64, flip in 1u8..) {
+        let keys = Keys::new(OLD_KEY, None);
+        let mut frame = seal(&keys, &value()).expect("the frame fits the limit");
         let at = at % frame.len();
         frame[at] ^= flip;
         prop_assert!(open::<(u64, String, Vec<u32>)>(&keys, &frame).is_err());
     }
 
-    // A signed payload that is not what it should be, as from a VM of another version.
+    // A VM of another version sends a correctly signed payload of another type: decoding must not panic.
     #[test]
-    fn signed_nonsense_is_no_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
-        let keys = Keys::new(OLD, None);
-        let frame = seal(&keys, &bytes).expect("it fits");
-        prop_assert!(frame.len() >= HEAD);
+    fn signed_payload_of_another_type_does_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+        let keys = Keys::new(OLD_KEY, None);
+        let frame = seal(&keys, &bytes).expect("the frame fits the limit");
+        prop_assert!(frame.len() >= HEADER_BYTES);
         let _ = open::<Vec<(String, Vec<u64>)>>(&keys, &frame);
     }
 }
