--- a/crates/tgw-serve/src/callers.rs
+++ b/crates/tgw-serve/src/callers.rs
@@ -1,6 +1,6 @@
 use crate::{
+    messages::{Completion, CoreMessage, Order, Search},
     metrics::{Gauges, Metrics},
-    work::{Order, Said, Search, Work},
 };
 use axum::{
     Json, Router,
@@ -26,34 +26,35 @@
 use tgw_ring::Sender;
 use tokio::sync::oneshot;
 
-/// Longest label that a caller may give its query.
-const LABEL_LIMIT: usize = 64;
-/// The header that carries an order's key.
-const KEY: &str = "idempotency-key";
-/// What the caller of an order that was not run is told to wait.
-const ORDER_RETRY: Millis = Millis::new(1000);
-const RING_FULL_RETRY: Millis = Millis::new(100);
+/// Largest length of the label that a caller may give to a query.
+const MAX_LABEL_BYTES: usize = 64;
+/// The header that carries an order's idempotency key.
+const ORDER_KEY_HEADER: &str = "idempotency-key";
+/// Delay before a retry that is reported to the caller of an order that was not run.
+const ORDER_RETRY_AFTER_MS: Millis = Millis::new(1000);
+/// Delay before a retry that is reported while the ring to the core is full.
+const RING_FULL_RETRY_AFTER_MS: Millis = Millis::new(100);
 
-/// What the handlers share.
+/// State shared by the handlers.
 pub(crate) struct Callers {
-    pub(crate) core: Sender<Work>,
+    pub(crate) core: Sender<CoreMessage>,
     pub(crate) gauges: Arc<Gauges>,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) body_limit: usize,
     pub(crate) read_timeout: Duration,
 }
 
-/// The callers' routes.
+/// The routes for callers.
 pub(crate) fn router(callers: Arc<Callers>) -> Router {
     Router::new()
         .route("/v1/{service}/search", post(search))
         .route("/v1/{service}/order", post(order))
         .route("/healthz", get(|| async { "ok" }))
-        .route("/readyz", get(ready))
+        .route("/readyz", get(readiness))
         .with_state(callers)
 }
 
-async fn ready(State(callers): State<Arc<Callers>>) -> Response {
+async fn readiness(State(callers): State<Arc<Callers>>) -> Response {
     if callers.gauges.accepting() {
         "ready".into_response()
     } else {
@@ -69,21 +70,24 @@
     let (head, body) = request.into_parts();
     let input = match Input::read(&callers, &head.headers, body).await {
         Ok(input) => input,
-        Err(mistake) => return mistake.into_response(),
+        Err(error) => return error.into_response(),
     };
-    let Input { within, label, body } = input;
-    let (reply, said) = oneshot::channel();
-    let search = Search { service: service.clone(), within, label: label.clone(), body, reply };
-    if callers.core.push(Work::Search(search)).is_err() {
-        // The ring to the core is full: nothing was sent for this query, so saying so is true.
-        let refusal = Refusal { reason: Cause::Busy, retry_after: RING_FULL_RETRY };
-        return refuse(&callers, &service, &refusal);
+    let Input { timeout, label, body } = input;
+    let (reply, receiver) = oneshot::channel();
+    let search = Search { service: service.clone(), timeout, label: label.clone(), body, reply };
+    if callers.core.push(CoreMessage::Search(search)).is_err() {
+        // The ring to the core is full. Nothing was sent for this query, so it is safe to report that it
+        // was not run.
+        let refusal = Refusal { reason: Cause::Busy, retry_after: RING_FULL_RETRY_AFTER_MS };
+        return refusal_response(&callers, &service, &refusal);
     }
-    match said.await {
-        Ok(Said::Answer(answer)) => answered(&callers, &service, &answer, label.as_deref()),
-        Ok(Said::Refusal(refusal)) => refuse(&callers, &service, &refusal),
-        Ok(Said::Ordered(_) | Said::BadKey(_)) | Err(_) => {
-            mistake(StatusCode::INTERNAL_SERVER_ERROR, "process", "the process is stopping")
+    match receiver.await {
+        Ok(Completion::Answer(answer)) => {
+            answer_response(&callers, &service, &answer, label.as_deref())
+        }
+        Ok(Completion::Refusal(refusal)) => refusal_response(&callers, &service, &refusal),
+        Ok(Completion::Ordered(_) | Completion::InvalidKey(_)) | Err(_) => {
+            error_response(StatusCode::INTERNAL_SERVER_ERROR, "process", "the process is stopping")
         }
     }
 }
@@ -94,38 +98,38 @@
     request: Request,
 ) -> Response {
     let (head, body) = request.into_parts();
-    let key = head.headers.get(KEY).and_then(|v| v.to_str().ok()).map(str::to_owned);
+    let key = head.headers.get(ORDER_KEY_HEADER).and_then(|v| v.to_str().ok()).map(str::to_owned);
     let Some(key) = key else {
         let text = tgw_order::key::Error::Malformed.to_string();
-        return mistake(StatusCode::BAD_REQUEST, KEY, &text);
+        return error_response(StatusCode::BAD_REQUEST, ORDER_KEY_HEADER, &text);
     };
-    let Input { within, body, .. } = match Input::read(&callers, &head.headers, body).await {
+    let Input { timeout, body, .. } = match Input::read(&callers, &head.headers, body).await {
         Ok(input) => input,
-        Err(mistake) => return mistake.into_response(),
+        Err(error) => return error.into_response(),
     };
-    let (reply, said) = oneshot::channel();
+    let (reply, receiver) = oneshot::channel();
     let now_s = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
-    let order = Order { service: service.clone(), key, now_s, within, body, reply };
-    if callers.core.push(Work::Order(order)).is_err() {
-        let refusal = Refusal { reason: Cause::Busy, retry_after: RING_FULL_RETRY };
-        return refuse(&callers, &service, &refusal);
+    let order = Order { service: service.clone(), key, now_s, timeout, body, reply };
+    if callers.core.push(CoreMessage::Order(order)).is_err() {
+        let refusal = Refusal { reason: Cause::Busy, retry_after: RING_FULL_RETRY_AFTER_MS };
+        return refusal_response(&callers, &service, &refusal);
     }
-    match said.await {
-        Ok(Said::Ordered(outcome)) => ordered(&outcome),
-        Ok(Said::Refusal(refusal)) => refuse(&callers, &service, &refusal),
-        Ok(Said::BadKey(error)) => {
+    match receiver.await {
+        Ok(Completion::Ordered(outcome)) => order_response(&outcome),
+        Ok(Completion::Refusal(refusal)) => refusal_response(&callers, &service, &refusal),
+        Ok(Completion::InvalidKey(error)) => {
             let status = match error {
                 tgw_order::key::Error::Expired => StatusCode::GONE,
                 _ => StatusCode::BAD_REQUEST,
             };
-            mistake(status, KEY, &error.to_string())
+            error_response(status, ORDER_KEY_HEADER, &error.to_string())
         }
-        // The process stops before the outcome is known.
-        Ok(Said::Answer(_)) | Err(_) => ordered(&Outcome::Unknown),
+        // The process is stopping and the outcome is not known.
+        Ok(Completion::Answer(_)) | Err(_) => order_response(&Outcome::Unknown),
     }
 }
 
-fn ordered(outcome: &Outcome) -> Response {
+fn order_response(outcome: &Outcome) -> Response {
     let status = match outcome {
         Outcome::Ran { .. } => StatusCode::OK,
         Outcome::NotRun { .. } => StatusCode::SERVICE_UNAVAILABLE,
@@ -139,55 +143,60 @@
         Outcome::NotRun { reason } => json!({
             "outcome": "not_run",
             "reason": reason,
-            "retry_after_ms": ORDER_RETRY.whole(),
+            "retry_after_ms": ORDER_RETRY_AFTER_MS.whole(),
         }),
         Outcome::Unknown => json!({ "outcome": "unknown" }),
     };
     (status, Json(body)).into_response()
 }
 
-/// A search as a caller states it.
+/// The parsed input of a search or an order.
 struct Input {
-    within: Option<Millis>,
+    timeout: Option<Millis>,
     label: Option<String>,
     body: Bytes,
 }
 
-/// What is wrong with a request, and in which field.
-struct Mistake {
+/// Why a request is invalid, and which field causes it.
+struct InvalidRequest {
     status: StatusCode,
     field: &'static str,
     text: String,
 }
 
-impl IntoResponse for Mistake {
+impl IntoResponse for InvalidRequest {
     fn into_response(self) -> Response {
-        mistake(self.status, self.field, &self.text)
+        error_response(self.status, self.field, &self.text)
     }
 }
 
 impl Input {
-    async fn read(callers: &Callers, headers: &HeaderMap, body: Body) -> Result<Self, Mistake> {
-        let bad = |field, text: &str| Mistake {
+    async fn read(
+        callers: &Callers,
+        headers: &HeaderMap,
+        body: Body,
+    ) -> Result<Self, InvalidRequest> {
+        let invalid = |field, text: &str| InvalidRequest {
             status: StatusCode::BAD_REQUEST,
             field,
             text: text.into(),
         };
-        let within = match headers.get("x-deadline-ms") {
+        let timeout = match headers.get("x-deadline-ms") {
             None => None,
             Some(value) => {
                 let ms = value.to_str().ok().and_then(|v| v.parse::<u64>().ok()).filter(|v| *v > 0);
                 let text = "a whole number of milliseconds above zero is expected";
-                Some(Millis::new(ms.ok_or_else(|| bad("x-deadline-ms", text))?))
+                Some(Millis::new(ms.ok_or_else(|| invalid("x-deadline-ms", text))?))
             }
         };
         let label = match headers.get("x-query-id") {
             None => None,
             Some(value) => {
-                let text = value.to_str().ok().filter(|v| !v.is_empty() && v.len() <= LABEL_LIMIT);
+                let text =
+                    value.to_str().ok().filter(|v| !v.is_empty() && v.len() <= MAX_LABEL_BYTES);
                 let text = text.filter(|t| t.chars().all(|c| c.is_ascii_graphic()));
                 let expected = "1 to 64 printable ASCII characters are expected";
-                Some(text.ok_or_else(|| bad("x-query-id", expected))?.to_owned())
+                Some(text.ok_or_else(|| invalid("x-query-id", expected))?.to_owned())
             }
         };
         let reading = axum::body::to_bytes(body, callers.body_limit);
@@ -195,29 +204,37 @@
         let body = match read {
             Err(_) => {
                 let text = "the body did not arrive in time".into();
-                return Err(Mistake { status: StatusCode::REQUEST_TIMEOUT, field: "body", text });
+                return Err(InvalidRequest {
+                    status: StatusCode::REQUEST_TIMEOUT,
+                    field: "body",
+                    text,
+                });
             }
             Ok(Err(_)) => {
                 let text = format!("the body is larger than {} bytes", callers.body_limit);
-                return Err(Mistake { status: StatusCode::PAYLOAD_TOO_LARGE, field: "body", text });
+                return Err(InvalidRequest {
+                    status: StatusCode::PAYLOAD_TOO_LARGE,
+                    field: "body",
+                    text,
+                });
             }
             Ok(Ok(body)) => body,
         };
         if let Err(e) = serde_json::from_slice::<serde::de::IgnoredAny>(&body) {
-            return Err(bad("body", &format!("not JSON: {e}")));
+            return Err(invalid("body", &format!("not JSON: {e}")));
         }
-        Ok(Self { within, label, body })
+        Ok(Self { timeout, label, body })
     }
 }
 
-fn mistake(status: StatusCode, field: &str, text: &str) -> Response {
+fn error_response(status: StatusCode, field: &str, text: &str) -> Response {
     let body = json!({ "outcome": "not_run", "reason": "bad_request", "field": field,
         "message": text });
     (status, Json(body)).into_response()
 }
 
-fn refuse(callers: &Callers, service: &str, refusal: &Refusal) -> Response {
-    callers.metrics.refuse(service, &refusal.reason.to_string());
+fn refusal_response(callers: &Callers, service: &str, refusal: &Refusal) -> Response {
+    callers.metrics.record_refusal(service, &refusal.reason.to_string());
     let status = match refusal.reason {
         Cause::UnknownService | Cause::NoOrders => StatusCode::NOT_FOUND,
         Cause::Busy => StatusCode::TOO_MANY_REQUESTS,
@@ -234,17 +251,22 @@
     response
 }
 
-fn answered(callers: &Callers, service: &str, answer: &Answer, label: Option<&str>) -> Response {
+fn answer_response(
+    callers: &Callers,
+    service: &str,
+    answer: &Answer,
+    label: Option<&str>,
+) -> Response {
     let labels = [KeyValue::new("service", service.to_owned())];
-    callers.metrics.took.record(answer.took.as_f64(), &labels);
+    callers.metrics.latency.record(answer.took.as_f64(), &labels);
     callers.metrics.coverage.record(answer.coverage.part(), &labels);
     let status = if answer.enough { StatusCode::OK } else { StatusCode::GATEWAY_TIMEOUT };
     let json = HeaderValue::from_static("application/json");
-    (status, [(header::CONTENT_TYPE, json)], body(answer, label)).into_response()
+    (status, [(header::CONTENT_TYPE, json)], encode_answer(answer, label)).into_response()
 }
 
-/// The answer's JSON. The shards' arrays are joined as text: they were checked as they came in.
-fn body(answer: &Answer, label: Option<&str>) -> Vec<u8> {
+/// The answer as JSON. The shards' arrays are joined as text; they were validated on receipt.
+fn encode_answer(answer: &Answer, label: Option<&str>) -> Vec<u8> {
     let missing: Vec<_> = answer
         .coverage
         .missing
--- a/crates/tgw-serve/src/config.rs
+++ b/crates/tgw-serve/src/config.rs
@@ -1,6 +1,6 @@
 use crate::{
+    messages::{ConfigMessage, CoreMessage},
     metrics::Gauges,
-    work::{Notice, Work},
 };
 use serde_json::Value;
 use std::{
@@ -24,54 +24,56 @@
 };
 
 /// The kind of the object that holds the table.
-pub(crate) const TABLE: &str = "table";
+pub(crate) const TABLE_KIND: &str = "table";
 /// The kind of the objects that describe services.
-pub(crate) const SERVICE: &str = "service";
-/// The kind of the objects that hold claims for orders.
-const CLAIM: &str = "claim";
-/// The kind of the platform's objects that list VMs.
-const VM: &str = "vm";
-/// How long a watch waits for a change.
-const WATCH: Millis = Millis::new(10_000);
-/// How long a VM that starts waits for peers to hand over table and catalog, if it watches the platform
-/// for its domain, and if another does.
-const RELAY_PATIENCE: Millis = Millis::new(300);
-const PATIENCE: Millis = Millis::new(5000);
-const BACKOFF_FIRST: Millis = Millis::new(100);
-const BACKOFF_MOST: Millis = Millis::new(2000);
-/// Time after which another VM is asked for what one has not sent.
-const ASK_AGAIN: Millis = Millis::new(300);
-/// How often a VM that does not watch checks whether it has become a watcher.
-const IDLE: Millis = Millis::new(100);
-/// The last part of a VM's name in the list of VMs names its peers' address.
-const ADDR: &str = "addr";
+pub(crate) const SERVICE_KIND: &str = "service";
+/// The kind of the objects that hold the claims of orders.
+const CLAIM_KIND: &str = "claim";
+/// The kind of the objects that describe VMs.
+const VM_KIND: &str = "vm";
+/// Time after which a watch without a change returns.
+const WATCH_TIMEOUT_MS: Millis = Millis::new(10_000);
+/// How long a starting VM waits for table and catalog from peers before it reads the platform, if it
+/// watches the platform on behalf of its failure domain.
+const WATCHER_PEER_TIMEOUT_MS: Millis = Millis::new(300);
+/// The same for a VM whose failure domain is watched by another VM.
+const PEER_TIMEOUT_MS: Millis = Millis::new(5000);
+const MIN_BACKOFF_MS: Millis = Millis::new(100);
+const MAX_BACKOFF_MS: Millis = Millis::new(2000);
+/// Time after which a request for updates that was not answered is sent to another VM.
+const UPDATE_REQUEST_TIMEOUT_MS: Millis = Millis::new(300);
+/// Interval at which a VM that does not watch checks whether it must, and at which a starting VM checks
+/// for data from peers.
+const POLL_INTERVAL_MS: Millis = Millis::new(100);
+/// The field of a VM's object that holds the address for peer traffic.
+const ADDR_FIELD: &str = "addr";
 
-struct Duty {
+struct Worker {
     store: Arc<dyn Store>,
-    core: Sender<Work>,
+    core: Sender<CoreMessage>,
     peers: Sender<Outgoing>,
     gauges: Arc<Gauges>,
     clock: Arc<dyn Clock>,
     table: RefCell<adopt::State>,
     catalog: RefCell<Catalog>,
-    relay: Cell<bool>,
-    asked: Cell<Option<Millis>>,
+    watches_platform: Cell<bool>,
+    requested_at: Cell<Option<Millis>>,
     vms: RefCell<BTreeMap<String, SocketAddr>>,
 }
 
-/// Runs the duty on the current thread until `stop` changes.
+/// Runs the worker on the current thread until `stop` changes.
 pub(crate) fn run(
     store: Arc<dyn Store>,
-    core: Sender<Work>,
+    core: Sender<CoreMessage>,
     peers: Sender<Outgoing>,
-    notices: Receiver<Notice>,
+    messages: Receiver<ConfigMessage>,
     gauges: Arc<Gauges>,
     clock: Arc<dyn Clock>,
     mut stop: watch::Receiver<bool>,
 ) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let Ok(runtime) = runtime else { return };
-    let duty = Rc::new(Duty {
+    let worker = Rc::new(Worker {
         store,
         core,
         peers,
@@ -79,81 +81,84 @@
         clock,
         table: RefCell::default(),
         catalog: RefCell::default(),
-        relay: Cell::new(false),
-        asked: Cell::new(None),
+        watches_platform: Cell::new(false),
+        requested_at: Cell::new(None),
         vms: RefCell::default(),
     });
     LocalSet::new().block_on(&runtime, async move {
-        for kind in [TABLE, SERVICE, VM] {
-            spawn_local(duty.clone().follow(kind));
+        for kind in [TABLE_KIND, SERVICE_KIND, VM_KIND] {
+            spawn_local(worker.clone().sync_kind(kind));
         }
         loop {
             tokio::select! {
                 _ = stop.changed() => return,
-                notice = notices.recv() => match notice {
-                    Notice::Store(action) => {
-                        spawn_local(duty.clone().claim(action));
+                message = messages.recv() => match message {
+                    ConfigMessage::StoreCall(action) => {
+                        spawn_local(worker.clone().call_store(action));
                     }
-                    notice => duty.notice(notice),
+                    message => worker.handle(message),
                 },
             }
         }
     });
 }
 
-impl Duty {
-    /// Reads a kind once, then watches it for as long as this VM watches for its domain.
-    async fn follow(self: Rc<Self>, kind: &'static str) {
-        let mut backoff = BACKOFF_FIRST;
+impl Worker {
+    /// Reads all objects of a kind once, then watches them while this VM watches the platform on behalf of
+    /// its failure domain.
+    async fn sync_kind(self: Rc<Self>, kind: &'static str) {
+        let mut backoff = MIN_BACKOFF_MS;
         let mut known: Option<Version> = self.wait_for_peers(kind).await.then_some(0);
         loop {
-            if known.is_some() && !self.relay.get() {
-                // What happens meanwhile is learned from peers; a new watcher begins with a list.
+            if known.is_some() && !self.watches_platform.get() {
+                // Changes meanwhile come from peers; a VM that becomes a watcher starts with a list.
                 known = Some(0);
-                sleep(IDLE.into()).await;
+                sleep(POLL_INTERVAL_MS.into()).await;
                 continue;
             }
             let result = match known {
-                None | Some(0) => self.call(self.store.list(kind).await),
-                Some(from) => self.call(self.store.watch(kind, from, WATCH).await),
+                None | Some(0) => self.count_call(self.store.list(kind).await),
+                Some(from) => self.count_call(self.store.watch(kind, from, WATCH_TIMEOUT_MS).await),
             };
             match result {
                 Ok(list) => {
-                    backoff = BACKOFF_FIRST;
+                    backoff = MIN_BACKOFF_MS;
                     known = Some(list.version.max(1));
-                    self.take(kind, list);
+                    self.apply_list(kind, list);
                 }
-                // The history does not reach back: only a list shows what happened since.
+                // The platform's history no longer covers this version, so the kind is listed again.
                 Err(Error::Gone) => known = Some(0),
                 Err(error) => {
-                    tracing::debug!(target: "tgw::platform", kind, %error, "call failed");
+                    tracing::debug!(target: "tgw::platform", kind, %error, "call to the platform failed");
                     sleep(backoff.into()).await;
-                    backoff = (backoff + backoff).min(BACKOFF_MOST);
+                    backoff = (backoff + backoff).min(MAX_BACKOFF_MS);
                 }
             }
         }
     }
 
-    /// Gives peers time to hand over what they have; whether they did. A domain whose VMs all start at
-    /// once would otherwise read the whole catalog from the platform once a VM: its relays do, and the
-    /// others ask the platform only when nobody has anything after a longer while.
+    /// Waits for peers to send the objects of this kind, and returns whether they did. Without the wait,
+    /// when all VMs of a failure domain start at once, each of them would read the whole catalog from the
+    /// platform. With it only the watchers do; the others read it if no peer has sent it after the longer
+    /// timeout.
     async fn wait_for_peers(&self, kind: &str) -> bool {
         let start = self.clock.now();
         loop {
-            let has = match kind {
-                TABLE => self.table.borrow().edit() > 0,
-                SERVICE => self.catalog.borrow().version > 0,
+            let received = match kind {
+                TABLE_KIND => self.table.borrow().edit() > 0,
+                SERVICE_KIND => self.catalog.borrow().version > 0,
                 _ => false,
             };
-            let patience = if self.relay.get() { RELAY_PATIENCE } else { PATIENCE };
-            if has || kind == VM || self.clock.now() - start >= patience {
-                return has;
+            let peer_timeout =
+                if self.watches_platform.get() { WATCHER_PEER_TIMEOUT_MS } else { PEER_TIMEOUT_MS };
+            if received || kind == VM_KIND || self.clock.now() - start >= peer_timeout {
+                return received;
             }
-            sleep(IDLE.into()).await;
+            sleep(POLL_INTERVAL_MS.into()).await;
         }
     }
 
-    fn call<T>(&self, result: Result<T, Error>) -> Result<T, Error> {
+    fn count_call<T>(&self, result: Result<T, Error>) -> Result<T, Error> {
         self.gauges.platform_calls.fetch_add(1, Ordering::Relaxed);
         if result.is_err() {
             self.gauges.platform_errors.fetch_add(1, Ordering::Relaxed);
@@ -161,60 +166,60 @@
         result
     }
 
-    fn take(&self, kind: &str, list: List) {
+    fn apply_list(&self, kind: &str, list: List) {
         match kind {
-            TABLE => {
+            TABLE_KIND => {
                 for object in list.objects {
-                    self.take_table(object);
+                    self.apply_table(object);
                 }
             }
-            SERVICE => {
-                let parts = list.objects.into_iter().filter_map(part).collect();
-                self.take_parts(list.version, parts);
+            SERVICE_KIND => {
+                let services = list.objects.into_iter().filter_map(decode_service).collect();
+                self.apply_services(list.version, services);
             }
-            _ => self.take_vms(list.objects),
+            _ => self.apply_vms(list.objects),
         }
     }
 
-    fn take_table(&self, object: Object) {
+    fn apply_table(&self, object: Object) {
         if object.value.is_null() {
             return;
         }
         match serde_json::from_value::<Document>(object.value) {
             Ok(document) => {
                 let outcome = self.table.borrow_mut().offer(document);
-                self.adopted(outcome, "platform");
+                self.announce_if_adopted(outcome, "platform");
             }
             Err(error) => {
-                tracing::error!(target: "tgw::platform", %error, "the table object is unreadable");
+                tracing::error!(target: "tgw::platform", %error, "cannot decode the table object");
             }
         }
     }
 
-    fn adopted(&self, outcome: adopt::Outcome, source: &'static str) {
+    fn announce_if_adopted(&self, outcome: adopt::Outcome, source: &'static str) {
         if outcome != adopt::Outcome::Adopted {
             return;
         }
         let table = self.table.borrow();
         if let Some(document) = table.document() {
-            tracing::info!(target: "tgw::table", edit = document.edit, source, "in force");
-            let _ = self.core.push(Work::Table(document.clone()));
+            tracing::info!(target: "tgw::table", edit = document.edit, source, "table in force");
+            let _ = self.core.push(CoreMessage::Table(document.clone()));
             let _ = self.peers.push(Outgoing::Edit(document.edit));
         }
     }
 
-    fn take_parts(&self, version: Version, parts: Vec<Part>) {
+    fn apply_services(&self, version: Version, services: Vec<Part>) {
         let mut catalog = self.catalog.borrow_mut();
-        if catalog.merge(version, parts) {
-            let _ = self.core.push(Work::Catalog(Arc::new(catalog.clone())));
+        if catalog.merge(version, services) {
+            let _ = self.core.push(CoreMessage::Catalog(Arc::new(catalog.clone())));
             let _ = self.peers.push(Outgoing::World(catalog.version));
         }
     }
 
-    fn take_vms(&self, objects: Vec<Object>) {
+    fn apply_vms(&self, objects: Vec<Object>) {
         let mut vms = self.vms.borrow_mut();
         for Object { name, value, .. } in objects {
-            match value.get(ADDR).and_then(Value::as_str).and_then(|a| a.parse().ok()) {
+            match value.get(ADDR_FIELD).and_then(Value::as_str).and_then(|a| a.parse().ok()) {
                 Some(addr) => vms.insert(name, addr),
                 None => vms.remove(&name),
             };
@@ -222,32 +227,34 @@
         let _ = self.peers.push(Outgoing::Seeds(vms.values().copied().collect()));
     }
 
-    fn notice(&self, notice: Notice) {
-        match notice {
-            Notice::Relay(relay) => self.relay.set(relay),
-            Notice::Store(_) => {}
-            Notice::Newer(vm) => self.ask(vm),
-            Notice::Asked { from, edit, world } => self.answer(from, edit, world),
-            Notice::Table(delta) => {
-                self.asked.set(None);
+    fn handle(&self, message: ConfigMessage) {
+        match message {
+            ConfigMessage::WatchesPlatform(watches) => self.watches_platform.set(watches),
+            ConfigMessage::StoreCall(_) => {}
+            ConfigMessage::PeerNewer(vm) => self.request_updates(vm),
+            ConfigMessage::UpdateRequest { from, edition, catalog_version } => {
+                self.send_updates(from, edition, catalog_version);
+            }
+            ConfigMessage::TableUpdate(delta) => {
+                self.requested_at.set(None);
                 let outcome = self.table.borrow_mut().offer_delta(&delta);
-                self.adopted(outcome, "peer");
+                self.announce_if_adopted(outcome, "peer");
             }
-            Notice::World { version, parts } => {
-                self.asked.set(None);
-                self.take_parts(version, parts);
+            ConfigMessage::CatalogUpdate { version, services } => {
+                self.requested_at.set(None);
+                self.apply_services(version, services);
             }
         }
     }
 
-    /// Carries out a call of the store for the clerk.
-    async fn claim(self: Rc<Self>, action: Action) {
+    /// Makes a call to the platform's store for the claims worker.
+    async fn call_store(self: Rc<Self>, action: Action) {
         let event = match action {
             Action::Put(object, version, ledger) => {
                 let expect = if version == 0 { Expect::Absent } else { Expect::At(version) };
                 let Ok(value) = serde_json::to_value(&ledger) else { return };
-                let put = self.store.put(CLAIM, &object, expect, &value).await;
-                let stored = match self.call(put) {
+                let put = self.store.put(CLAIM_KIND, &object, expect, &value).await;
+                let stored = match self.count_call(put) {
                     Ok(version) => Stored::Done(version),
                     Err(Error::Conflict { .. }) => Stored::Conflict,
                     Err(Error::Unavailable { .. }) => Stored::Unavailable,
@@ -256,62 +263,69 @@
                 Event::Stored(object, stored)
             }
             Action::Get(object) => {
-                let read = self.call(self.store.get(CLAIM, &object).await);
-                Event::Read(object, read.map_err(|_| ()).and_then(ledger))
+                let read = self.count_call(self.store.get(CLAIM_KIND, &object).await);
+                Event::Read(object, read.map_err(|_| ()).and_then(decode_claims))
             }
             Action::Expire(object) => {
-                if let Ok(Some(found)) = self.call(self.store.get(CLAIM, &object).await) {
-                    let _ = self.call(self.store.delete(CLAIM, &object, found.version).await);
+                if let Ok(Some(found)) = self.count_call(self.store.get(CLAIM_KIND, &object).await)
+                {
+                    let _ = self
+                        .count_call(self.store.delete(CLAIM_KIND, &object, found.version).await);
                 }
                 return;
             }
             Action::Run(..) | Action::Tell(..) => return,
         };
-        // The clerk waits for this answer; the number of its calls under way is bounded.
-        let mut work = Work::Store(event);
-        while let Err(back) = self.core.push(work) {
-            work = back;
+        // The claims worker waits for this reply, so it must not be dropped. The number of its calls in
+        // flight is bounded.
+        let mut reply = CoreMessage::StoreReply(event);
+        while let Err(rejected) = self.core.push(reply) {
+            reply = rejected;
             sleep(Millis::new(1).into()).await;
         }
     }
 
-    fn ask(&self, vm: Vm) {
+    fn request_updates(&self, vm: Vm) {
         let now = self.clock.now();
-        if self.asked.get().is_some_and(|since| now - since < ASK_AGAIN) {
+        if self.requested_at.get().is_some_and(|since| now - since < UPDATE_REQUEST_TIMEOUT_MS) {
             return;
         }
-        self.asked.set(Some(now));
-        let (edit, world) = (self.table.borrow().edit(), self.catalog.borrow().version);
-        let _ = self.peers.push(Outgoing::Parcel(vm, Parcel::Ask { edit, world }));
+        self.requested_at.set(Some(now));
+        let (edition, catalog_version) =
+            (self.table.borrow().edit(), self.catalog.borrow().version);
+        let _ = self
+            .peers
+            .push(Outgoing::Parcel(vm, Parcel::Ask { edit: edition, world: catalog_version }));
     }
 
-    fn answer(&self, from: Vm, edit: u64, world: Version) {
+    fn send_updates(&self, from: Vm, edition: u64, catalog_version: Version) {
         let table = self.table.borrow();
-        if let Some(document) = table.document().filter(|d| d.edit > edit) {
-            let delta = document.delta(edit);
+        if let Some(document) = table.document().filter(|d| d.edit > edition) {
+            let delta = document.delta(edition);
             let _ = self.peers.push(Outgoing::Parcel(from, Parcel::Table(delta)));
         }
         let catalog = self.catalog.borrow();
-        if catalog.version > world {
-            let (version, parts) = (catalog.version, catalog.since(world));
-            let _ = self.peers.push(Outgoing::Parcel(from, Parcel::World { version, parts }));
+        if catalog.version > catalog_version {
+            let (version, services) = (catalog.version, catalog.since(catalog_version));
+            let _ =
+                self.peers.push(Outgoing::Parcel(from, Parcel::World { version, parts: services }));
         }
     }
 }
 
-fn part(object: Object) -> Option<Part> {
-    let mut part: Part = serde_json::from_value(object.value)
+fn decode_service(object: Object) -> Option<Part> {
+    let mut service: Part = serde_json::from_value(object.value)
         .map_err(|error| {
             tracing::error!(target: "tgw::platform", name = object.name, %error,
-                "a service object is unreadable");
+                "cannot decode a service object");
         })
         .ok()?;
-    part.changed = object.version;
-    Some(part)
+    service.changed = object.version;
+    Some(service)
 }
 
-/// The claims that an object holds; an unreadable one counts as unread.
-fn ledger(object: Option<Object>) -> Result<Option<(Version, Ledger)>, ()> {
+/// Decodes the claims in an object. One that cannot be decoded counts as a failed read.
+fn decode_claims(object: Option<Object>) -> Result<Option<(Version, Ledger)>, ()> {
     let Some(object) = object else { return Ok(None) };
     let ledger = serde_json::from_value(object.value).map_err(|_| ())?;
     Ok(Some((object.version, ledger)))
--- a/crates/tgw-serve/src/lib.rs
+++ b/crates/tgw-serve/src/lib.rs
@@ -1,27 +1,27 @@
-//! One VM's process: the duty threads round the decision core, joined by bounded rings.
+//! One VM's process: the worker threads around the decision core, connected by bounded ring buffers.
 //!
-//! Duties: callers (HTTP), queries (the core), upstreams, peers, configuration, operators.
+//! Workers: callers (HTTP), queries (the core), upstreams, peers, configuration, operators.
 
-/// The callers' duty: HTTP in, answers out.
+/// The HTTP server for callers.
 mod callers;
-/// The configuration duty: table, catalog and VM list from the platform and from peers.
+/// The configuration worker: reads table, catalog and VM list from the platform and from peers.
 mod config;
-/// The decision log and what `explain` reads.
+/// The decision log, which also serves `explain`.
 mod log;
-/// Counters and the metrics made of them.
+/// Messages between the workers.
+mod messages;
+/// Counters and the metrics exported from them.
 mod metrics;
-/// The operators' duty.
+/// The HTTP server for operators.
 mod operators;
-/// The queries' duty: the thread that runs the core.
+/// The queries worker: the thread that runs the core.
 mod queries;
-/// Starts and stops all duties.
+/// Starts and stops all workers.
 mod serve;
-/// What operators are told of one VM.
+/// The status that a VM reports to operators.
 pub mod status;
-/// The upstreams' duty: connections, searches, load probes.
+/// The upstreams worker: connections, searches, orders and load probes.
 mod upstreams;
-/// What the duties send one another.
-mod work;
 
-pub use serve::{Handle, MakeTap, Options, spawn};
+pub use serve::{Handle, Options, TapFactory, spawn};
 pub use status::Status;
--- a/crates/tgw-serve/src/log.rs
+++ b/crates/tgw-serve/src/log.rs
@@ -3,31 +3,31 @@
 use tgw_clock::Millis;
 use tgw_node::Note;
 
-/// Queries whose decisions are kept for `explain`.
-const KEPT: usize = 4096;
-/// Decisions kept of one query.
-const LINES: usize = 1024;
+/// Number of queries whose decisions are kept for `explain`.
+const MAX_QUERIES: usize = 4096;
+/// Number of decisions kept for one query.
+const MAX_DECISIONS_PER_QUERY: usize = 1024;
 
-/// One decision as `explain` shows it.
+/// One decision as shown by `explain`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Line {
     /// Milliseconds since this VM's process started.
     pub at_ms: f64,
-    /// The VM that decided.
+    /// The VM that made the decision.
     pub vm: String,
-    /// The query's identity.
+    /// The query's identifier.
     pub query: String,
-    /// The part of the core that decided.
+    /// The part of the core that made the decision.
     pub part: String,
-    /// What was decided.
+    /// The decision as text.
     pub text: String,
 }
 
-/// Writes a line for each decision and keeps the latest for `explain`.
+/// Logs each decision and keeps those of the latest queries for `explain`.
 pub(crate) struct Log {
     vm: String,
-    kept: BTreeMap<String, Vec<Line>>,
-    order: VecDeque<String>,
+    decisions: BTreeMap<String, Vec<Line>>,
+    oldest_first: VecDeque<String>,
     labels: BTreeMap<String, String>,
 }
 
@@ -35,27 +35,27 @@
     pub(crate) fn new(vm: &str) -> Self {
         Self {
             vm: vm.into(),
-            kept: BTreeMap::new(),
-            order: VecDeque::new(),
+            decisions: BTreeMap::new(),
+            oldest_first: VecDeque::new(),
             labels: BTreeMap::new(),
         }
     }
 
-    /// The decisions about a query, named by its identity or by its caller's label.
+    /// The decisions about a query, found by its identifier or by the label its caller gave it.
     pub(crate) fn explain(&self, id: &str) -> Vec<Line> {
         let id = self.labels.get(id).map_or(id, String::as_str);
-        self.kept.get(id).cloned().unwrap_or_default()
+        self.decisions.get(id).cloned().unwrap_or_default()
     }
 
-    /// Remembers the caller's own name for a query.
-    pub(crate) fn label(&mut self, label: &str, query: &str) {
-        if self.labels.len() >= KEPT {
+    /// Records the label that a caller gave to a query.
+    pub(crate) fn set_label(&mut self, label: &str, query: &str) {
+        if self.labels.len() >= MAX_QUERIES {
             self.labels.clear();
         }
         self.labels.insert(label.into(), query.into());
     }
 
-    pub(crate) fn note(&mut self, now: Millis, note: &Note) {
+    pub(crate) fn record(&mut self, now: Millis, note: &Note) {
         match note {
             Note::Entry(note) => {
                 let query = note.query.to_string();
@@ -63,7 +63,7 @@
                 tracing::info!(target: "tgw::decision", %query, %service, left_ms = left,
                     decision = %note.what);
                 let text = format!("{} ({left:.1} ms left)", note.what);
-                self.keep(now, &query, "entry", text);
+                self.store(now, &query, "entry", text);
             }
             Note::Dispatch(note) => {
                 let query = note.key.map(|k| k.query.to_string()).unwrap_or_default();
@@ -79,7 +79,7 @@
                         let text = format!(
                             "{what} shard {shard}#{attempt} to {upstream}, passed [{passed}]"
                         );
-                        self.keep(now, &query, "owner", text);
+                        self.store(now, &query, "owner", text);
                     }
                     None => {
                         tracing::info!(target: "tgw::decision", %upstream, decision = %what);
@@ -94,17 +94,17 @@
         }
     }
 
-    fn keep(&mut self, now: Millis, query: &str, part: &str, text: String) {
-        if !self.kept.contains_key(query) {
-            if self.order.len() >= KEPT
-                && let Some(oldest) = self.order.pop_front()
+    fn store(&mut self, now: Millis, query: &str, part: &str, text: String) {
+        if !self.decisions.contains_key(query) {
+            if self.oldest_first.len() >= MAX_QUERIES
+                && let Some(oldest) = self.oldest_first.pop_front()
             {
-                self.kept.remove(&oldest);
+                self.decisions.remove(&oldest);
             }
-            self.order.push_back(query.into());
+            self.oldest_first.push_back(query.into());
         }
-        let lines = self.kept.entry(query.into()).or_default();
-        if lines.len() < LINES {
+        let lines = self.decisions.entry(query.into()).or_default();
+        if lines.len() < MAX_DECISIONS_PER_QUERY {
             let (vm, part) = (self.vm.clone(), part.into());
             lines.push(Line { at_ms: now.as_f64(), vm, query: query.into(), part, text });
         }
--- a/crates/tgw-serve/src/metrics.rs
+++ b/crates/tgw-serve/src/metrics.rs
@@ -10,47 +10,58 @@
     atomic::{AtomicBool, AtomicU64, Ordering},
 };
 
-/// What duties publish for the metrics; written by one duty each, read by the operators' duty.
+/// Values that the workers publish as metrics. One worker writes each value; the operators' server
+/// reads them all.
 #[derive(Debug, Default)]
 pub(crate) struct Gauges {
     pub(crate) ready: AtomicBool,
-    /// The VM has said that it leaves; it takes queries while the balancer lags.
+    /// The VM has announced that it leaves. It still accepts queries until the load balancer has noticed.
     pub(crate) leaving: AtomicBool,
-    pub(crate) edit: AtomicU64,
-    pub(crate) running: AtomicU64,
-    pub(crate) owned: AtomicU64,
-    pub(crate) leafs: AtomicU64,
-    pub(crate) extra_entry: AtomicU64,
-    pub(crate) extra_owner: AtomicU64,
-    pub(crate) late: AtomicU64,
-    pub(crate) crossed: AtomicU64,
+    pub(crate) table_edition: AtomicU64,
+    pub(crate) queries_running: AtomicU64,
+    pub(crate) groups_owned: AtomicU64,
+    pub(crate) first_requests: AtomicU64,
+    pub(crate) extra_requests: AtomicU64,
+    pub(crate) extra_sends: AtomicU64,
+    pub(crate) late_outcomes: AtomicU64,
+    pub(crate) unmatched_outcomes: AtomicU64,
     pub(crate) restarts: AtomicU64,
     pub(crate) members: AtomicU64,
     pub(crate) connections: AtomicU64,
     pub(crate) connections_opened: AtomicU64,
     pub(crate) platform_calls: AtomicU64,
     pub(crate) platform_errors: AtomicU64,
-    pub(crate) ring_core: AtomicU64,
-    pub(crate) ring_core_refused: AtomicU64,
+    pub(crate) core_ring_length: AtomicU64,
+    pub(crate) core_ring_rejected: AtomicU64,
 }
 
-/// A gauge's name, help and how it is read.
-type Reading = (&'static str, &'static str, fn(&Gauges) -> u64);
+/// A gauge's name, help text and accessor.
+type GaugeSpec = (&'static str, &'static str, fn(&Gauges) -> u64);
 
-const READINGS: [Reading; 17] = [
+const GAUGE_SPECS: [GaugeSpec; 17] = [
     ("tgw_ready", "1 while new queries are taken", |g| u64::from(g.accepting())),
-    ("tgw_table_edit", "edition of the table in force", |g| g.edit.load(Ordering::Relaxed)),
-    ("tgw_queries_running", "queries that wait or run", |g| g.running.load(Ordering::Relaxed)),
-    ("tgw_groups_owned", "replica groups owned here", |g| g.owned.load(Ordering::Relaxed)),
-    ("tgw_leafs", "leaf requests, the first of each shard", |g| g.leafs.load(Ordering::Relaxed)),
+    ("tgw_table_edit", "edition of the table in force", |g| {
+        g.table_edition.load(Ordering::Relaxed)
+    }),
+    ("tgw_queries_running", "queries that wait or run", |g| {
+        g.queries_running.load(Ordering::Relaxed)
+    }),
+    ("tgw_groups_owned", "replica groups owned here", |g| g.groups_owned.load(Ordering::Relaxed)),
+    ("tgw_leafs", "leaf requests, the first of each shard", |g| {
+        g.first_requests.load(Ordering::Relaxed)
+    }),
     ("tgw_extra_entry", "leaf requests beyond the first, by the entry", |g| {
-        g.extra_entry.load(Ordering::Relaxed)
+        g.extra_requests.load(Ordering::Relaxed)
     }),
     ("tgw_extra_owner", "sendings beyond the first, by owners", |g| {
-        g.extra_owner.load(Ordering::Relaxed)
+        g.extra_sends.load(Ordering::Relaxed)
+    }),
+    ("tgw_outcomes_late", "outcomes that came too late", |g| {
+        g.late_outcomes.load(Ordering::Relaxed)
+    }),
+    ("tgw_outcomes_crossed", "outcomes of nothing asked", |g| {
+        g.unmatched_outcomes.load(Ordering::Relaxed)
     }),
-    ("tgw_outcomes_late", "outcomes that came too late", |g| g.late.load(Ordering::Relaxed)),
-    ("tgw_outcomes_crossed", "outcomes of nothing asked", |g| g.crossed.load(Ordering::Relaxed)),
     ("tgw_restarts", "queries begun again", |g| g.restarts.load(Ordering::Relaxed)),
     ("tgw_members", "VMs that may own groups", |g| g.members.load(Ordering::Relaxed)),
     ("tgw_connections", "connections to upstreams", |g| g.connections.load(Ordering::Relaxed)),
@@ -61,44 +72,46 @@
     ("tgw_platform_errors", "calls of the platform that failed", |g| {
         g.platform_errors.load(Ordering::Relaxed)
     }),
-    ("tgw_ring_core", "values waiting for the core", |g| g.ring_core.load(Ordering::Relaxed)),
+    ("tgw_ring_core", "values waiting for the core", |g| {
+        g.core_ring_length.load(Ordering::Relaxed)
+    }),
     ("tgw_ring_core_refused", "values that the full ring refused", |g| {
-        g.ring_core_refused.load(Ordering::Relaxed)
+        g.core_ring_rejected.load(Ordering::Relaxed)
     }),
 ];
 
 /// The metrics of one VM.
 pub(crate) struct Metrics {
     registry: Registry,
-    /// Keeps the instruments alive.
+    /// Owns the instruments; dropping it would stop them.
     _provider: SdkMeterProvider,
-    pub(crate) took: Histogram<f64>,
+    pub(crate) latency: Histogram<f64>,
     pub(crate) coverage: Histogram<f64>,
     pub(crate) refused: Counter<u64>,
 }
 
 impl Gauges {
-    /// Whether the balancer may send new queries.
+    /// Whether the load balancer may send new queries to this VM.
     pub(crate) fn accepting(&self) -> bool {
         self.ready.load(Ordering::Relaxed) && !self.leaving.load(Ordering::Relaxed)
     }
 }
 
 impl Metrics {
-    /// Instruments over `gauges`.
-    pub(crate) fn open(gauges: &Arc<Gauges>) -> anyhow::Result<Self> {
+    /// Registers the instruments; the gauges read their values from `gauges`.
+    pub(crate) fn new(gauges: &Arc<Gauges>) -> anyhow::Result<Self> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
             .with_registry(registry.clone())
             .build()
-            .context("metrics exporter")?;
+            .context("cannot build the metrics exporter")?;
         let provider = SdkMeterProvider::builder().with_reader(exporter).build();
         let meter = provider.meter("tanagergw");
-        for reading in READINGS {
-            observe(&meter, reading, gauges.clone());
+        for spec in GAUGE_SPECS {
+            register_gauge(&meter, spec, gauges.clone());
         }
         Ok(Self {
-            took: meter.f64_histogram("tgw_query_took_ms").build(),
+            latency: meter.f64_histogram("tgw_query_took_ms").build(),
             coverage: meter.f64_histogram("tgw_query_coverage").build(),
             refused: meter.u64_counter("tgw_queries_refused").build(),
             registry,
@@ -106,8 +119,8 @@
         })
     }
 
-    /// Counts a refusal by its reason.
-    pub(crate) fn refuse(&self, service: &str, reason: &str) {
+    /// Counts a refused query by service and reason.
+    pub(crate) fn record_refusal(&self, service: &str, reason: &str) {
         let labels = [
             KeyValue::new("service", service.to_owned()),
             KeyValue::new("reason", reason.to_owned()),
@@ -115,13 +128,13 @@
         self.refused.add(1, &labels);
     }
 
-    /// The Prometheus text.
-    pub(crate) fn text(&self) -> String {
+    /// All metrics in the Prometheus text format.
+    pub(crate) fn encode(&self) -> String {
         TextEncoder::new().encode_to_string(&self.registry.gather()).unwrap_or_default()
     }
 }
 
-fn observe(meter: &Meter, (name, help, read): Reading, gauges: Arc<Gauges>) {
+fn register_gauge(meter: &Meter, (name, help, read): GaugeSpec, gauges: Arc<Gauges>) {
     meter
         .u64_observable_gauge(name)
         .with_description(help)
--- a/crates/tgw-serve/src/operators.rs
+++ b/crates/tgw-serve/src/operators.rs
@@ -1,4 +1,4 @@
-use crate::{log::Line, metrics::Metrics, status::Status, work::Work};
+use crate::{log::Line, messages::CoreMessage, metrics::Metrics, status::Status};
 use axum::{
     Json, Router,
     extract::{Path, Request, State},
@@ -11,17 +11,17 @@
 use tgw_ring::Sender;
 use tokio::sync::oneshot;
 
-/// Time for the core to answer.
-const ANSWER: Duration = Duration::from_secs(2);
+/// Time limit for the core to answer a request of an operator.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What the handlers share.
+/// State shared by the handlers.
 pub(crate) struct Operators {
-    pub(crate) core: Sender<Work>,
+    pub(crate) core: Sender<CoreMessage>,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) token: String,
 }
 
-/// The operators' routes.
+/// The routes for operators.
 pub(crate) fn router(operators: Arc<Operators>) -> Router {
     let admin = Router::new()
         .route("/admin/status", get(status))
@@ -39,42 +39,43 @@
     request: Request,
     next: Next,
 ) -> Response {
-    let given = request.headers().get(header::AUTHORIZATION).and_then(|v| v.to_str().ok());
-    let given = given.and_then(|v| v.strip_prefix("Bearer ")).unwrap_or_default();
-    if same(given.as_bytes(), operators.token.as_bytes()) {
+    let provided = request.headers().get(header::AUTHORIZATION).and_then(|v| v.to_str().ok());
+    let provided = provided.and_then(|v| v.strip_prefix("Bearer ")).unwrap_or_default();
+    if equal_in_constant_time(provided.as_bytes(), operators.token.as_bytes()) {
         next.run(request).await
     } else {
         (StatusCode::UNAUTHORIZED, "a token is needed: Authorization: Bearer ...").into_response()
     }
 }
 
-/// Compares in time that depends on the lengths only, so that a token cannot be guessed bytewise.
-fn same(a: &[u8], b: &[u8]) -> bool {
+/// Compares in time that depends only on the lengths, so that response times do not help to guess a
+/// token byte by byte.
+fn equal_in_constant_time(a: &[u8], b: &[u8]) -> bool {
     a.len() == b.len() && a.iter().zip(b).fold(0, |diff, (x, y)| diff | (x ^ y)) == 0
 }
 
 async fn metrics(State(operators): State<Arc<Operators>>) -> String {
-    operators.metrics.text()
+    operators.metrics.encode()
 }
 
 async fn status(State(operators): State<Arc<Operators>>) -> Result<Json<Status>, StatusCode> {
-    ask(&operators, Work::Inspect).await.map(Json)
+    query_core(&operators, CoreMessage::Inspect).await.map(Json)
 }
 
 async fn explain(
     State(operators): State<Arc<Operators>>,
     Path(id): Path<String>,
 ) -> Result<Json<Vec<Line>>, StatusCode> {
-    ask(&operators, |reply| Work::Explain(id, reply)).await.map(Json)
+    query_core(&operators, |reply| CoreMessage::Explain(id, reply)).await.map(Json)
 }
 
-async fn ask<T>(
+async fn query_core<T>(
     operators: &Operators,
-    work: impl FnOnce(oneshot::Sender<T>) -> Work,
+    message: impl FnOnce(oneshot::Sender<T>) -> CoreMessage,
 ) -> Result<T, StatusCode> {
-    let (reply, said) = oneshot::channel();
-    operators.core.push(work(reply)).map_err(|_| StatusCode::SERVICE_UNAVAILABLE)?;
-    match tokio::time::timeout(ANSWER, said).await {
+    let (reply, receiver) = oneshot::channel();
+    operators.core.push(message(reply)).map_err(|_| StatusCode::SERVICE_UNAVAILABLE)?;
+    match tokio::time::timeout(ANSWER_TIMEOUT, receiver).await {
         Ok(Ok(value)) => Ok(value),
         _ => Err(StatusCode::SERVICE_UNAVAILABLE),
     }
--- a/crates/tgw-serve/src/queries.rs
+++ b/crates/tgw-serve/src/queries.rs
@@ -1,8 +1,8 @@
 use crate::{
     log::Log,
+    messages::{Command, Completion, ConfigMessage, CoreMessage, Order, Search},
     metrics::Gauges,
-    status::{Counters, DomainLine, Status, UpstreamLine, VmLine},
-    work::{Errand, Notice, Order, Said, Search, Work},
+    status::{Counters, DomainStatus, Status, UpstreamStatus, VmStatus},
 };
 use std::{
     collections::BTreeMap,
@@ -21,41 +21,43 @@
     time::{Instant, sleep_until},
 };
 
-const TICK: Millis = Millis::new(1);
-/// Time between ticks while nothing waits or runs.
-const IDLE_TICK: Millis = Millis::new(20);
-/// Values taken from the ring before time is looked at again.
-const BATCH: usize = 256;
-const RETRY: Millis = Millis::new(1000);
+/// Interval of ticks while queries wait or run.
+const TICK_INTERVAL_MS: Millis = Millis::new(1);
+/// Interval of ticks while no query waits or runs.
+const IDLE_TICK_INTERVAL_MS: Millis = Millis::new(20);
+/// Messages taken from the ring before the timer and the stop signal are checked again.
+const MAX_BATCH_MESSAGES: usize = 256;
+/// Delay before a retry that is reported for a service that is not in the catalog.
+const RETRY_AFTER_MS: Millis = Millis::new(1000);
 
-/// The thread that runs the core.
+/// The worker that runs the core.
 pub(crate) struct Queries {
     pub(crate) name: String,
     pub(crate) place: String,
     pub(crate) node: Node,
     pub(crate) clock: Arc<dyn Clock>,
     pub(crate) gauges: Arc<Gauges>,
-    pub(crate) work: Receiver<Work>,
-    /// The same ring's sending end, for its figures.
-    pub(crate) depth: Sender<Work>,
-    pub(crate) errands: Sender<Errand>,
+    pub(crate) receiver: Receiver<CoreMessage>,
+    /// The sending end of the same ring, read for its length and its count of rejected messages.
+    pub(crate) core_sender: Sender<CoreMessage>,
+    pub(crate) commands: Sender<Command>,
     pub(crate) peers: Sender<Outgoing>,
-    pub(crate) notices: Sender<Notice>,
+    pub(crate) config: Sender<ConfigMessage>,
     pub(crate) log: Log,
     pub(crate) idle: watch::Sender<bool>,
-    replies: BTreeMap<u64, (oneshot::Sender<Said>, Option<String>)>,
-    forces: BTreeMap<Domain, Force>,
-    next: u64,
+    pending: BTreeMap<u64, (oneshot::Sender<Completion>, Option<String>)>,
+    rollouts: BTreeMap<Domain, Force>,
+    next_token: u64,
     draining: bool,
 }
 
-/// The ends that the duty is given.
-pub(crate) struct Ends {
-    pub(crate) work: Receiver<Work>,
-    pub(crate) depth: Sender<Work>,
-    pub(crate) errands: Sender<Errand>,
+/// The channels to the other workers.
+pub(crate) struct Channels {
+    pub(crate) receiver: Receiver<CoreMessage>,
+    pub(crate) core_sender: Sender<CoreMessage>,
+    pub(crate) commands: Sender<Command>,
     pub(crate) peers: Sender<Outgoing>,
-    pub(crate) notices: Sender<Notice>,
+    pub(crate) config: Sender<ConfigMessage>,
     pub(crate) idle: watch::Sender<bool>,
 }
 
@@ -66,7 +68,7 @@
         node: Node,
         clock: Arc<dyn Clock>,
         gauges: Arc<Gauges>,
-        ends: Ends,
+        channels: Channels,
     ) -> Self {
         Self {
             name: name.into(),
@@ -74,16 +76,16 @@
             node,
             clock,
             gauges,
-            work: ends.work,
-            depth: ends.depth,
-            errands: ends.errands,
-            peers: ends.peers,
-            notices: ends.notices,
+            receiver: channels.receiver,
+            core_sender: channels.core_sender,
+            commands: channels.commands,
+            peers: channels.peers,
+            config: channels.config,
             log: Log::new(name),
-            idle: ends.idle,
-            replies: BTreeMap::new(),
-            forces: BTreeMap::new(),
-            next: 1,
+            idle: channels.idle,
+            pending: BTreeMap::new(),
+            rollouts: BTreeMap::new(),
+            next_token: 1,
             draining: false,
         }
     }
@@ -95,134 +97,139 @@
         runtime.block_on(async move {
             let mut ticked = Instant::now();
             loop {
-                let period = if self.node.idle() { IDLE_TICK } else { TICK };
+                let period =
+                    if self.node.idle() { IDLE_TICK_INTERVAL_MS } else { TICK_INTERVAL_MS };
                 tokio::select! {
                     _ = stop.changed() => return,
                     () = sleep_until(ticked + period.into()) => {
                         ticked = Instant::now();
-                        self.step(true);
+                        self.run_batch(true);
                     }
-                    () = self.work.ready() => self.step(false),
+                    () = self.receiver.ready() => self.run_batch(false),
                 }
                 freeze.hold();
             }
         });
     }
 
-    fn step(&mut self, tick: bool) {
+    fn run_batch(&mut self, tick: bool) {
         let mut out = Vec::new();
-        for _ in 0..BATCH {
-            let Some(work) = self.work.pop() else { break };
-            self.work(work, &mut out);
+        for _ in 0..MAX_BATCH_MESSAGES {
+            let Some(message) = self.receiver.pop() else { break };
+            self.handle(message, &mut out);
         }
         if tick {
-            self.abandoned(&mut out);
+            self.cancel_abandoned(&mut out);
             self.node.on(self.clock.now(), Input::Tick, &mut out);
-            self.publish();
+            self.publish_gauges();
         }
-        self.carry_out(out);
+        self.apply_outputs(out);
     }
 
-    fn work(&mut self, work: Work, out: &mut Vec<Output>) {
+    fn handle(&mut self, message: CoreMessage, out: &mut Vec<Output>) {
         let now = self.clock.now();
-        let input = match work {
-            Work::Search(search) => return self.search(now, search, out),
-            Work::Order(order) => return self.order(now, order, out),
-            Work::Store(event) => Input::Store(event),
-            Work::Messages(from, messages) => {
+        let input = match message {
+            CoreMessage::Search(search) => return self.submit_search(now, search, out),
+            CoreMessage::Order(order) => return self.submit_order(now, order, out),
+            CoreMessage::StoreReply(event) => Input::Store(event),
+            CoreMessage::Messages(from, messages) => {
                 for message in messages {
                     self.node.on(now, Input::Peer(from, message), out);
                 }
                 return;
             }
-            Work::Forces(forces) => {
-                self.forces = forces;
+            CoreMessage::Rollouts(rollouts) => {
+                self.rollouts = rollouts;
                 return;
             }
-            Work::Inspect(reply) => {
+            CoreMessage::Inspect(reply) => {
                 let _ = reply.send(self.status(now));
                 return;
             }
-            Work::Explain(id, reply) => {
+            CoreMessage::Explain(id, reply) => {
                 let _ = reply.send(self.log.explain(&id));
                 return;
             }
-            Work::Paused(gap) => {
+            CoreMessage::Paused(gap) => {
                 tracing::warn!(target: "tgw::placement", gap_ms = gap.whole(), "this VM was paused");
                 Input::Paused
             }
-            Work::Drain => {
+            CoreMessage::Drain => {
                 self.draining = true;
                 Input::Drain
             }
-            Work::Lost(vm) => Input::Lost(vm),
-            Work::Done { ticket, result, held } => Input::Done { ticket, result, held },
-            Work::Held(upstream, held) => Input::Held(upstream, held),
-            Work::Leaving(upstream) => Input::Leaving(upstream),
-            Work::Restarted(upstream) => Input::Restarted(upstream),
-            Work::Catalog(catalog) => Input::Catalog(catalog),
-            Work::Table(table) => Input::Table(table),
-            Work::Directory(directory) => Input::Directory(directory),
+            CoreMessage::Disconnected(vm) => Input::Lost(vm),
+            CoreMessage::SendEnded { send_id, result, snapshots } => {
+                Input::Done { ticket: send_id, result, held: snapshots }
+            }
+            CoreMessage::SnapshotsReported(upstream, snapshots) => Input::Held(upstream, snapshots),
+            CoreMessage::Leaving(upstream) => Input::Leaving(upstream),
+            CoreMessage::Restarted(upstream) => Input::Restarted(upstream),
+            CoreMessage::Catalog(catalog) => Input::Catalog(catalog),
+            CoreMessage::Table(table) => Input::Table(table),
+            CoreMessage::Directory(directory) => Input::Directory(directory),
         };
         self.node.on(now, input, out);
     }
 
-    fn search(&mut self, now: Millis, search: Search, out: &mut Vec<Output>) {
-        let Search { service, within, label, body, reply } = search;
+    fn submit_search(&mut self, now: Millis, search: Search, out: &mut Vec<Output>) {
+        let Search { service, timeout, label, body, reply } = search;
         let Some(id) = self.node.catalog().service(&service).map(|s| s.id) else {
-            let known = !self.node.catalog().services.is_empty();
-            let reason = if known { Cause::UnknownService } else { Cause::NotReady };
-            let _ = reply.send(Said::Refusal(Refusal { reason, retry_after: RETRY }));
+            let catalog_loaded = !self.node.catalog().services.is_empty();
+            let reason = if catalog_loaded { Cause::UnknownService } else { Cause::NotReady };
+            let _ =
+                reply.send(Completion::Refusal(Refusal { reason, retry_after: RETRY_AFTER_MS }));
             return;
         };
-        let token = self.next;
-        self.next += 1;
-        self.replies.insert(token, (reply, label));
-        self.node.on(now, Input::Submit { token, service: id, within, body }, out);
+        let token = self.next_token;
+        self.next_token += 1;
+        self.pending.insert(token, (reply, label));
+        self.node.on(now, Input::Submit { token, service: id, within: timeout, body }, out);
     }
 
-    fn order(&mut self, now: Millis, order: Order, out: &mut Vec<Output>) {
-        let Order { service, key, now_s, within, body, reply } = order;
+    fn submit_order(&mut self, now: Millis, order: Order, out: &mut Vec<Output>) {
+        let Order { service, key, now_s, timeout, body, reply } = order;
         let Some(id) = self.node.catalog().service(&service).map(|s| s.id) else {
-            let known = !self.node.catalog().services.is_empty();
-            let reason = if known { Cause::UnknownService } else { Cause::NotReady };
-            let _ = reply.send(Said::Refusal(Refusal { reason, retry_after: RETRY }));
+            let catalog_loaded = !self.node.catalog().services.is_empty();
+            let reason = if catalog_loaded { Cause::UnknownService } else { Cause::NotReady };
+            let _ =
+                reply.send(Completion::Refusal(Refusal { reason, retry_after: RETRY_AFTER_MS }));
             return;
         };
         let key = match Key::read(id, &key, now_s) {
             Ok(key) => key,
             Err(error) => {
-                let _ = reply.send(Said::BadKey(error));
+                let _ = reply.send(Completion::InvalidKey(error));
                 return;
             }
         };
-        let token = self.next;
-        self.next += 1;
-        self.replies.insert(token, (reply, None));
+        let token = self.next_token;
+        self.next_token += 1;
+        self.pending.insert(token, (reply, None));
         let age_s = now_s.checked_sub(key.made_s);
-        self.node.on(now, Input::Order(Intake { token, key, age_s, within, body }), out);
+        self.node.on(now, Input::Order(Intake { token, key, age_s, within: timeout, body }), out);
     }
 
-    /// Callers that went away: their work is stopped.
-    fn abandoned(&mut self, out: &mut Vec<Output>) {
-        let gone: Vec<u64> =
-            self.replies.iter().filter(|(_, r)| r.0.is_closed()).map(|(t, _)| *t).collect();
-        for token in gone {
-            self.replies.remove(&token);
+    /// Cancels the requests whose callers have disconnected.
+    fn cancel_abandoned(&mut self, out: &mut Vec<Output>) {
+        let abandoned: Vec<u64> =
+            self.pending.iter().filter(|(_, r)| r.0.is_closed()).map(|(t, _)| *t).collect();
+        for token in abandoned {
+            self.pending.remove(&token);
             self.node.on(self.clock.now(), Input::Abandon(token), out);
         }
     }
 
-    fn carry_out(&mut self, out: Vec<Output>) {
-        let mut letters: BTreeMap<Vm, Vec<Message>> = BTreeMap::new();
+    fn apply_outputs(&mut self, out: Vec<Output>) {
+        let mut batches: BTreeMap<Vm, Vec<Message>> = BTreeMap::new();
         for output in out {
             match output {
-                Output::Tell(to, message) => letters.entry(to).or_default().push(message),
-                Output::Send { ticket, upstream, leaf } => {
-                    self.errand(Errand::Send { ticket, upstream, leaf });
+                Output::Tell(to, message) => batches.entry(to).or_default().push(message),
+                Output::Send { ticket: send_id, upstream, leaf } => {
+                    self.send_command(Command::Send { send_id, upstream, leaf });
                 }
-                Output::Abort { ticket, upstream } => {
-                    self.errand(Errand::Abort { ticket, upstream });
+                Output::Abort { ticket: send_id, upstream } => {
+                    self.send_command(Command::Cancel { send_id, upstream });
                 }
                 Output::Connect(upstreams) => {
                     for upstream in upstreams {
@@ -231,46 +238,50 @@
                 }
                 Output::Disconnect(upstreams) => {
                     for upstream in upstreams {
-                        self.errand(Errand::Disconnect(upstream));
+                        self.send_command(Command::Disconnect(upstream));
                     }
                 }
                 Output::Answer(token, answer) => {
-                    if let Some((reply, label)) = self.replies.remove(&token) {
+                    if let Some((reply, label)) = self.pending.remove(&token) {
                         if let Some(label) = label {
-                            self.log.label(&label, &answer.query.to_string());
+                            self.log.set_label(&label, &answer.query.to_string());
                         }
-                        let _ = reply.send(Said::Answer(answer));
+                        let _ = reply.send(Completion::Answer(answer));
                     }
                 }
                 Output::Refuse(token, refusal) => {
-                    if let Some((reply, _)) = self.replies.remove(&token) {
-                        let _ = reply.send(Said::Refusal(refusal));
+                    if let Some((reply, _)) = self.pending.remove(&token) {
+                        let _ = reply.send(Completion::Refusal(refusal));
                     }
                 }
                 Output::Ordered(token, outcome) => {
-                    if let Some((reply, _)) = self.replies.remove(&token) {
-                        let _ = reply.send(Said::Ordered(outcome));
+                    if let Some((reply, _)) = self.pending.remove(&token) {
+                        let _ = reply.send(Completion::Ordered(outcome));
                     }
                 }
-                Output::Store(action) => self.store(action),
-                Output::Note(note) => self.log.note(self.clock.now(), &note),
+                Output::Store(action) => self.call_store(action),
+                Output::Note(note) => self.log.record(self.clock.now(), &note),
             }
         }
-        for (to, messages) in letters {
+        for (to, messages) in batches {
             if self.peers.push(Outgoing::Parcel(to, Parcel::Messages(messages))).is_err() {
-                // The peers' ring is full: what was asked cannot reach the VM. The core is told that
-                // the way is lost and asks a stand-in or reports the shards missing.
+                // The ring to the peers worker is full, so the requests cannot reach the VM. The core
+                // handles it as a lost connection: it asks another VM or reports the shards missing.
                 let mut out = Vec::new();
                 self.node.on(self.clock.now(), Input::Lost(to), &mut out);
                 out.retain(|o| !matches!(o, Output::Tell(..)));
-                self.carry_out(out);
+                self.apply_outputs(out);
             }
         }
     }
 
-    /// Hands a call of the store over; a full ring counts as a call that was never made.
-    fn store(&mut self, action: tgw_order::Action) {
-        let Err(Notice::Store(action)) = self.notices.push(Notice::Store(action)) else { return };
+    /// Passes a store call to the configuration worker. A full ring counts as a call that was not made.
+    fn call_store(&mut self, action: tgw_order::Action) {
+        let Err(ConfigMessage::StoreCall(action)) =
+            self.config.push(ConfigMessage::StoreCall(action))
+        else {
+            return;
+        };
         let event = match action {
             tgw_order::Action::Put(object, ..) => {
                 tgw_order::Event::Stored(object, tgw_order::Stored::Unavailable)
@@ -280,52 +291,52 @@
         };
         let mut out = Vec::new();
         self.node.on(self.clock.now(), Input::Store(event), &mut out);
-        self.carry_out(out);
+        self.apply_outputs(out);
     }
 
-    fn errand(&mut self, errand: Errand) {
-        if let Err(Errand::Send { ticket, .. }) = self.errands.push(errand) {
+    fn send_command(&mut self, command: Command) {
+        if let Err(Command::Send { send_id, .. }) = self.commands.push(command) {
             let mut out = Vec::new();
             let result = Err(tgw_dispatch::leaf::Failure::Connect);
-            let input = Input::Done { ticket, result, held: None };
+            let input = Input::Done { ticket: send_id, result, held: None };
             self.node.on(self.clock.now(), input, &mut out);
-            self.carry_out(out);
+            self.apply_outputs(out);
         }
     }
 
     fn connect(&mut self, upstream: Upstream) {
         let node = self.node.catalog().upstreams.get(&upstream);
-        if let Some((addr, slots)) = node.map(|n| (n.addr, n.slots)) {
-            self.errand(Errand::Connect { upstream, addr, slots });
+        if let Some((addr, max_concurrency)) = node.map(|n| (n.addr, n.slots)) {
+            self.send_command(Command::Connect { upstream, addr, max_concurrency });
         }
     }
 
-    /// Whether new queries are taken.
-    fn ready(&self) -> bool {
-        // Until ownership is settled every leaf request would be turned away by this VM itself.
-        let known = self.node.joined() && self.node.table().is_some();
-        known && !self.draining && !self.node.catalog().services.is_empty()
+    /// Whether new queries are accepted.
+    fn is_ready(&self) -> bool {
+        // Until group ownership is settled, this VM itself would reject every leaf request.
+        let settled = self.node.joined() && self.node.table().is_some();
+        settled && !self.draining && !self.node.catalog().services.is_empty()
     }
 
-    fn publish(&self) {
+    fn publish_gauges(&self) {
         let stats = self.node.stats();
         let set = |cell: &std::sync::atomic::AtomicU64, value: u64| {
             cell.store(value, Ordering::Relaxed);
         };
         let gauges = &self.gauges;
-        gauges.ready.store(self.ready(), Ordering::Relaxed);
-        set(&gauges.edit, self.node.table().map_or(0, |t| t.edit));
-        set(&gauges.running, self.node.entry().pending() as u64);
-        set(&gauges.leafs, stats.leafs);
-        set(&gauges.extra_entry, stats.extra);
-        set(&gauges.extra_owner, stats.extra_owner);
-        set(&gauges.late, stats.late);
-        set(&gauges.crossed, stats.crossed);
+        gauges.ready.store(self.is_ready(), Ordering::Relaxed);
+        set(&gauges.table_edition, self.node.table().map_or(0, |t| t.edit));
+        set(&gauges.queries_running, self.node.entry().pending() as u64);
+        set(&gauges.first_requests, stats.leafs);
+        set(&gauges.extra_requests, stats.extra);
+        set(&gauges.extra_sends, stats.extra_owner);
+        set(&gauges.late_outcomes, stats.late);
+        set(&gauges.unmatched_outcomes, stats.crossed);
         set(&gauges.restarts, stats.restarts);
         set(&gauges.members, self.node.directory().owners().count() as u64);
-        set(&gauges.ring_core, self.depth.len() as u64);
-        set(&gauges.ring_core_refused, self.depth.refused());
-        let idle = self.draining && self.node.idle() && self.replies.is_empty();
+        set(&gauges.core_ring_length, self.core_sender.len() as u64);
+        set(&gauges.core_ring_rejected, self.core_sender.refused());
+        let idle = self.draining && self.node.idle() && self.pending.is_empty();
         self.idle.send_if_modified(|old| std::mem::replace(old, idle) != idle);
     }
 
@@ -336,49 +347,49 @@
 
     fn status(&self, now: Millis) -> Status {
         let directory = self.node.directory();
-        let vms = directory.members.values().map(|m| VmLine {
+        let vms = directory.members.values().map(|m| VmStatus {
             name: m.name.clone(),
             place: m.place.to_string(),
             state: m.state.to_string(),
             addr: m.addr.to_string(),
             reachable: !directory.cut.contains(&m.place.domain),
         });
-        let domains = self.forces.iter().map(|(domain, force)| DomainLine {
+        let domains = self.rollouts.iter().map(|(domain, rollout)| DomainStatus {
             domain: domain.0,
             reachable: !directory.cut.contains(domain),
-            edit: force.edit,
-            behind: force.behind,
-            example: force.example.map(|vm| self.vm_name(vm)),
+            edit: rollout.edit,
+            behind: rollout.behind,
+            example: rollout.example.map(|vm| self.vm_name(vm)),
         });
         let stats = self.node.stats();
         Status {
             vm: self.name.clone(),
             place: self.place.clone(),
-            ready: self.ready(),
+            ready: self.is_ready(),
             draining: self.draining,
             edit: self.node.table().map_or(0, |t| t.edit),
-            world: self.node.catalog().version,
+            catalog_version: self.node.catalog().version,
             vms: vms.collect(),
             domains: domains.collect(),
-            upstreams: self.upstream_lines(now),
+            upstreams: self.upstream_statuses(now),
             counters: Counters {
-                leafs: stats.leafs,
-                extra_entry: stats.extra,
-                extra_owner: stats.extra_owner,
-                late: stats.late,
-                crossed: stats.crossed,
+                first_requests: stats.leafs,
+                extra_requests: stats.extra,
+                extra_sends: stats.extra_owner,
+                late_outcomes: stats.late,
+                unmatched_outcomes: stats.crossed,
                 restarts: stats.restarts,
-                whole: stats.whole,
+                complete: stats.whole,
                 partial: stats.partial,
-                short: stats.short,
+                below_least_coverage: stats.short,
                 refused: stats.refused,
             },
         }
     }
 
-    fn upstream_lines(&self, now: Millis) -> Vec<UpstreamLine> {
+    fn upstream_statuses(&self, now: Millis) -> Vec<UpstreamStatus> {
         let catalog = self.node.catalog();
-        let line = |node: &tgw_topology::catalog::Node| UpstreamLine {
+        let status_of = |node: &tgw_topology::catalog::Node| UpstreamStatus {
             upstream: node.id.to_string(),
             service: catalog
                 .services
@@ -391,6 +402,6 @@
             running: self.node.running(node.id),
             leaving: self.node.is_leaving(node.id),
         };
-        catalog.upstreams.values().map(line).collect()
+        catalog.upstreams.values().map(status_of).collect()
     }
 }
--- a/crates/tgw-serve/src/serve.rs
+++ b/crates/tgw-serve/src/serve.rs
@@ -1,11 +1,11 @@
 use crate::{
     callers::{self, Callers},
     config,
+    messages::{Command, ConfigMessage, CoreMessage},
     metrics::{Gauges, Metrics},
     operators::{self, Operators},
-    queries::{Ends, Queries},
+    queries::{Channels, Queries},
     upstreams,
-    work::{Errand, Notice, Work},
 };
 use anyhow::Context;
 use std::{
@@ -34,35 +34,37 @@
 use tgw_wire::Keys;
 use tokio::sync::watch;
 
-/// Work that waits for the core.
-const CORE: usize = 1 << 16;
-/// Errands that wait for the upstreams' duty.
-const ERRANDS: usize = 1 << 16;
-/// Parcels that wait for the peers' duty.
-const PEERS: usize = 1 << 14;
-const NOTICES: usize = 1 << 12;
-/// Counter bits below a life's start time: room for refutations.
-const REFUTATIONS: u32 = 16;
-
-/// What a process is started with besides its settings.
+/// Capacity of the ring to the core, in messages.
+const CORE_RING_CAPACITY: usize = 1 << 16;
+/// Capacity of the ring to the upstreams worker, in commands.
+const COMMAND_RING_CAPACITY: usize = 1 << 16;
+/// Capacity of the ring to the peers worker, in messages.
+const PEERS_RING_CAPACITY: usize = 1 << 14;
+/// Capacity of the ring to the configuration worker, in messages.
+const CONFIG_RING_CAPACITY: usize = 1 << 12;
+/// Low bits of an incarnation below the process's start time, reserved for the increments by which a VM
+/// refutes suspicion.
+const REFUTATION_BITS: u32 = 16;
+
+/// What a process is started with: its settings, and replacements for parts of it.
 pub struct Options {
     /// The settings.
     pub settings: Settings,
-    /// The platform; by default the one that the settings name.
+    /// The platform's store; by default the one at the address in the settings.
     pub store: Option<Arc<dyn Store>>,
-    /// The way to other VMs; by default the network as it is.
+    /// The network to the other VMs; by default the real network without restrictions.
     pub network: Arc<dyn Network>,
-    /// Stops all duties while the VM counts as frozen.
+    /// Blocks the core, the upstreams worker and the peers worker while set.
     pub freeze: Freeze,
-    /// Makes what listens to the core, as for a trace.
-    pub tap: Option<MakeTap>,
+    /// Creates an observer of the core's inputs and outputs, such as a trace recorder.
+    pub tap: Option<TapFactory>,
 }
 
-/// Makes what listens to a core of this identity.
-pub type MakeTap = Box<dyn FnOnce(&Identity) -> anyhow::Result<Box<dyn Tap>> + Send>;
+/// Creates an observer for a core of this identity.
+pub type TapFactory = Box<dyn FnOnce(&Identity) -> anyhow::Result<Box<dyn Tap>> + Send>;
 
 impl Options {
-    /// Options of a process that runs on its settings alone.
+    /// Creates options for a process with the defaults for everything but the settings.
     pub fn new(settings: Settings) -> Self {
         Self {
             settings,
@@ -74,65 +76,67 @@
     }
 }
 
-/// A running process's duties.
+/// The workers of a running process.
 pub struct Handle {
     callers: SocketAddr,
     operators: SocketAddr,
     peers: tgw_peer::Handle,
-    core: Sender<Work>,
+    core: Sender<CoreMessage>,
     outgoing: Sender<Outgoing>,
     gauges: Arc<Gauges>,
     idle: watch::Receiver<bool>,
-    /// Ends the HTTP listeners, which finish the requests they have.
+    /// Stops the HTTP listeners; requests in flight are finished.
     close: watch::Sender<bool>,
-    /// Ends all other duties.
+    /// Stops all other workers.
     stop: watch::Sender<bool>,
-    http: Vec<JoinHandle<()>>,
+    http_threads: Vec<JoinHandle<()>>,
     threads: Vec<JoinHandle<()>>,
     grace: Duration,
 }
 
 impl Handle {
-    /// Where callers are served.
+    /// The address that serves callers.
     pub fn callers(&self) -> SocketAddr {
         self.callers
     }
 
-    /// Where operators are served.
+    /// The address that serves operators.
     pub fn operators(&self) -> SocketAddr {
         self.operators
     }
 
-    /// Where peers reach the VM.
+    /// The address that receives peer traffic.
     pub fn peers(&self) -> SocketAddr {
         self.peers.addr()
     }
 
-    /// Whether new queries are taken.
+    /// Whether new queries are accepted.
     pub fn ready(&self) -> bool {
         self.gauges.accepting()
     }
 
-    /// VMs that may own groups, as this one sees them.
+    /// Number of VMs that may own groups, as seen by this VM.
     pub fn members(&self) -> u64 {
         self.gauges.members.load(Ordering::Relaxed)
     }
 
-    /// Bytes of membership packets sent since the start.
-    pub fn udp_sent(&self) -> u64 {
+    /// Bytes of membership packets sent since the process started.
+    pub fn udp_bytes_sent(&self) -> u64 {
         self.peers.counts().udp_sent.load(Ordering::Relaxed)
     }
 
-    /// Leaves in order: tells the others, goes on accepting while the balancer lags, finishes all
-    /// requests, then stops. Returns whether nothing was left undone within `limit`.
+    /// Shuts down gracefully: announces the departure to the other VMs, accepts requests for the grace
+    /// period (until the load balancer has noticed), finishes all requests, then stops. Returns whether
+    /// all requests were finished within `limit`.
     pub fn drain(mut self, limit: Duration) -> bool {
         let _ = self.outgoing.push(Outgoing::Leave);
         self.gauges.leaving.store(true, Ordering::Relaxed);
         std::thread::sleep(self.grace);
-        let _ = self.core.push(Work::Drain);
-        // The listeners close first and finish what they have; only then may the core count as idle.
+        let _ = self.core.push(CoreMessage::Drain);
+        // The listeners close first and finish their requests; before that the core must not count as
+        // idle.
         let _ = self.close.send(true);
-        for thread in self.http.drain(..) {
+        for thread in self.http_threads.drain(..) {
             let _ = thread.join();
         }
         let until = std::time::Instant::now() + limit;
@@ -145,7 +149,7 @@
         idle
     }
 
-    /// Stops at once, as a crash would.
+    /// Stops immediately without finishing requests, like a crash.
     pub fn kill(mut self) {
         let _ = self.close.send(true);
         let _ = self.stop.send(true);
@@ -156,51 +160,56 @@
     }
 }
 
-/// Passes on to the core and to the configuration duty what the peers' duty reports.
+/// Forwards the reports of the peers worker to the core and to the configuration worker.
 struct Sink {
-    core: Sender<Work>,
-    notices: Sender<Notice>,
+    core: Sender<CoreMessage>,
+    config: Sender<ConfigMessage>,
 }
 
 impl Report for Sink {
     fn letter(&self, letter: Letter) -> Result<(), Letter> {
         let Letter { from, incarnation, parcel } = letter;
-        let notice = match parcel {
+        let message = match parcel {
             Parcel::Messages(messages) => {
-                let back = self.core.push(Work::Messages(from, messages));
-                return back.map_err(|work| match work {
-                    Work::Messages(from, messages) => {
+                let rejected = self.core.push(CoreMessage::Messages(from, messages));
+                return rejected.map_err(|message| match message {
+                    CoreMessage::Messages(from, messages) => {
                         Letter { from, incarnation, parcel: Parcel::Messages(messages) }
                     }
                     _ => Letter { from, incarnation, parcel: Parcel::Messages(Vec::new()) },
                 });
             }
-            Parcel::Ask { edit, world } => Notice::Asked { from, edit, world },
-            Parcel::Table(delta) => Notice::Table(delta),
-            Parcel::World { version, parts } => Notice::World { version, parts },
+            Parcel::Ask { edit, world } => {
+                ConfigMessage::UpdateRequest { from, edition: edit, catalog_version: world }
+            }
+            Parcel::Table(delta) => ConfigMessage::TableUpdate(delta),
+            Parcel::World { version, parts } => {
+                ConfigMessage::CatalogUpdate { version, services: parts }
+            }
             Parcel::Records(_) => return Ok(()),
         };
-        // Versions are told again with every packet, so a lost notice is made up for.
-        let _ = self.notices.push(notice);
+        // Every membership packet repeats the versions, so a dropped message is made up for.
+        let _ = self.config.push(message);
         Ok(())
     }
 
-    fn directory(&self, directory: Arc<Directory>, relay: bool) {
-        let _ = self.core.push(Work::Directory(directory));
-        let _ = self.notices.push(Notice::Relay(relay));
+    fn directory(&self, directory: Arc<Directory>, watches_platform: bool) {
+        let _ = self.core.push(CoreMessage::Directory(directory));
+        let _ = self.config.push(ConfigMessage::WatchesPlatform(watches_platform));
     }
 
-    fn forces(&self, forces: BTreeMap<Domain, Force>) {
-        let _ = self.core.push(Work::Forces(forces));
+    fn forces(&self, rollouts: BTreeMap<Domain, Force>) {
+        let _ = self.core.push(CoreMessage::Rollouts(rollouts));
     }
 
     fn lost(&self, vm: Vm) {
-        let _ = self.core.push(Work::Lost(vm));
+        let _ = self.core.push(CoreMessage::Disconnected(vm));
     }
 
     fn refused(&self, vm: Vm, parcel: Parcel) {
-        // The VM does not keep up. What it was asked is answered as failed, so that the entry can
-        // try elsewhere; outcomes and cancellations are lost, and the asker's timers deal with it.
+        // The VM is overloaded and did not take the batch. Its requests are answered as failed, so that
+        // the entry can retry elsewhere. Outcomes and cancellations are lost; the requesting VM's
+        // timeouts cover that.
         let Parcel::Messages(messages) = parcel else { return };
         let failed = messages.into_iter().filter_map(|message| match message {
             Message::Ask(Ask { key, .. }) => {
@@ -208,63 +217,79 @@
             }
             _ => None,
         });
-        let _ = self.core.push(Work::Messages(vm, failed.collect()));
+        let _ = self.core.push(CoreMessage::Messages(vm, failed.collect()));
     }
 
     fn newer(&self, vm: Vm, _edit: u64, _world: u64) {
-        let _ = self.notices.push(Notice::Newer(vm));
+        let _ = self.config.push(ConfigMessage::PeerNewer(vm));
     }
 
     fn paused(&self, gap: Millis) {
-        let _ = self.core.push(Work::Paused(gap));
+        let _ = self.core.push(CoreMessage::Paused(gap));
     }
 }
 
-/// Starts all duties. Errors: an address cannot be bound.
+/// Starts all workers. Fails if an address cannot be bound, a thread cannot be started, or the metrics
+/// or the observer cannot be created.
 pub fn spawn(options: Options) -> anyhow::Result<Handle> {
     let Options { settings, store, network, freeze, tap } = options;
     let clock: Arc<dyn Clock> = Arc::new(Monotonic::default());
     let gauges = Arc::new(Gauges::default());
-    let metrics = Arc::new(Metrics::open(&gauges)?);
+    let metrics = Arc::new(Metrics::new(&gauges)?);
     let vm = Vm::named(&settings.vm.name);
     let incarnation = incarnation();
     let place = Place { region: Region(settings.vm.region), domain: Domain(settings.vm.domain) };
-    let (core, work) = pair(CORE);
-    let (errands, errands_out) = pair(ERRANDS);
-    let (outgoing, outgoing_out) = pair(PEERS);
-    let (notices, notices_out) = pair(NOTICES);
+    let (core, core_receiver) = pair(CORE_RING_CAPACITY);
+    let (commands, command_receiver) = pair(COMMAND_RING_CAPACITY);
+    let (outgoing, outgoing_receiver) = pair(PEERS_RING_CAPACITY);
+    let (config, config_receiver) = pair(CONFIG_RING_CAPACITY);
     let (stop, stopped) = watch::channel(false);
     let (close, closed) = watch::channel(false);
-    let (idle, idle_seen) = watch::channel(false);
+    let (idle, idle_receiver) = watch::channel(false);
 
-    let sink = Box::new(Sink { core: core.clone(), notices: notices.clone() });
+    let sink = Box::new(Sink { core: core.clone(), config: config.clone() });
     let mut peer = peer_options(&settings, vm, incarnation, place, network, clock.clone());
     peer.freeze = freeze.clone();
-    let peers = tgw_peer::bind(peer, outgoing_out, sink, stopped.clone())?;
+    let peers = tgw_peer::bind(peer, outgoing_receiver, sink, stopped.clone())?;
 
     let identity = identity(&settings, vm, incarnation, place);
     let mut node = Node::new(tgw_node::Options::shipped(&identity));
     if let Some(tap) = tap {
         node.tap(tap(&identity)?);
     }
-    let ends = Ends { work, depth: core.clone(), errands, peers: outgoing.clone(), notices, idle };
+    let channels = Channels {
+        receiver: core_receiver,
+        core_sender: core.clone(),
+        commands,
+        peers: outgoing.clone(),
+        config,
+        idle,
+    };
     let (name, place) = (&settings.vm.name, place.to_string());
-    let queries = Queries::new(name, &place, node, clock.clone(), gauges.clone(), ends);
+    let queries = Queries::new(name, &place, node, clock.clone(), gauges.clone(), channels);
     let mut threads = Vec::new();
-    let stop_seen = stopped.clone();
+    let stop_receiver = stopped.clone();
     let frozen = freeze.clone();
-    threads.push(thread("queries", move || queries.run(&frozen, stop_seen))?);
-    threads.push(upstreams_thread(
+    threads.push(spawn_thread("queries", move || queries.run(&frozen, stop_receiver))?);
+    threads.push(spawn_upstreams(
         &core,
-        errands_out,
+        command_receiver,
         &gauges,
         &clock,
         &freeze,
         incarnation,
         &stopped,
     )?);
-    let store = store.unwrap_or_else(|| platform(&settings));
-    threads.push(config_thread(store, &core, &outgoing, notices_out, &gauges, &clock, &stopped)?);
+    let store = store.unwrap_or_else(|| http_store(&settings));
+    threads.push(spawn_config(
+        store,
+        &core,
+        &outgoing,
+        config_receiver,
+        &gauges,
+        &clock,
+        &stopped,
+    )?);
 
     let callers = Arc::new(Callers {
         core: core.clone(),
@@ -274,7 +299,7 @@
         read_timeout: Duration::from_millis(settings.listen.read_timeout_ms),
     });
     let read_timeout = callers.read_timeout;
-    let (callers_addr, callers_thread) = http(
+    let (callers_addr, callers_thread) = serve_http(
         "callers",
         settings.listen.callers,
         callers::router(callers),
@@ -283,7 +308,7 @@
     )?;
     let token = settings.peer.admin_token.0.clone();
     let operators = Arc::new(Operators { core: core.clone(), metrics, token });
-    let (operators_addr, operators_thread) = http(
+    let (operators_addr, operators_thread) = serve_http(
         "operators",
         settings.listen.operators,
         operators::router(operators),
@@ -297,23 +322,23 @@
         core,
         outgoing,
         gauges,
-        idle: idle_seen,
+        idle: idle_receiver,
         close,
         stop,
-        http: vec![callers_thread, operators_thread],
+        http_threads: vec![callers_thread, operators_thread],
         threads,
         grace: Duration::from_millis(settings.vm.drain_grace_ms),
     })
 }
 
-/// This life of the VM: higher than that of any process before, as far as the machine's wall clock
-/// goes forward between two starts.
+/// The incarnation of this process: higher than that of every earlier process of the VM, provided that
+/// the machine's wall clock does not go back between two starts.
 fn incarnation() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    (since.as_millis() as u64) << REFUTATIONS
+    (since.as_millis() as u64) << REFUTATION_BITS
 }
 
-fn platform(settings: &Settings) -> Arc<dyn Store> {
+fn http_store(settings: &Settings) -> Arc<dyn Store> {
     Arc::new(Http::open(settings.platform.addr, Millis::new(settings.platform.timeout_ms)))
 }
 
@@ -345,55 +370,55 @@
 }
 
 fn identity(settings: &Settings, vm: Vm, incarnation: u64, place: Place) -> Identity {
-    let us = |micros: u64| Millis::from_micros(micros).as_f64();
+    let micros_as_ms = |micros: u64| Millis::from_micros(micros).as_f64();
     let network = settings.network;
     let distance = Distance {
-        local: us(network.local_us),
-        domains: us(network.domains_us),
-        regions: us(network.regions_us),
+        local: micros_as_ms(network.local_us),
+        domains: micros_as_ms(network.domains_us),
+        regions: micros_as_ms(network.regions_us),
     };
     let (places, sample) = (settings.listen.concurrency as u32, settings.log.sample);
     Identity { vm, incarnation, place, distance, places, sample }
 }
 
-fn thread(name: &str, run: impl FnOnce() + Send + 'static) -> anyhow::Result<JoinHandle<()>> {
+fn spawn_thread(name: &str, run: impl FnOnce() + Send + 'static) -> anyhow::Result<JoinHandle<()>> {
     let builder = std::thread::Builder::new().name(name.into());
     builder.spawn(run).with_context(|| format!("cannot start the thread {name}"))
 }
 
-fn upstreams_thread(
-    core: &Sender<Work>,
-    errands: Receiver<Errand>,
+fn spawn_upstreams(
+    core: &Sender<CoreMessage>,
+    commands: Receiver<Command>,
     gauges: &Arc<Gauges>,
     clock: &Arc<dyn Clock>,
     freeze: &Freeze,
-    salt: u64,
+    request_id_base: u64,
     stop: &watch::Receiver<bool>,
 ) -> anyhow::Result<JoinHandle<()>> {
     let (core, gauges, clock) = (core.clone(), gauges.clone(), clock.clone());
     let (freeze, stop) = (freeze.clone(), stop.clone());
-    thread("upstreams", move || {
-        upstreams::run(core, errands, gauges, clock, &freeze, salt, stop);
+    spawn_thread("upstreams", move || {
+        upstreams::run(core, commands, gauges, clock, &freeze, request_id_base, stop);
     })
 }
 
-fn config_thread(
+fn spawn_config(
     store: Arc<dyn Store>,
-    core: &Sender<Work>,
+    core: &Sender<CoreMessage>,
     peers: &Sender<Outgoing>,
-    notices: Receiver<Notice>,
+    messages: Receiver<ConfigMessage>,
     gauges: &Arc<Gauges>,
     clock: &Arc<dyn Clock>,
     stop: &watch::Receiver<bool>,
 ) -> anyhow::Result<JoinHandle<()>> {
     let (core, peers, gauges) = (core.clone(), peers.clone(), gauges.clone());
     let (clock, stop) = (clock.clone(), stop.clone());
-    thread("config", move || config::run(store, core, peers, notices, gauges, clock, stop))
+    spawn_thread("config", move || config::run(store, core, peers, messages, gauges, clock, stop))
 }
 
-/// Binds an HTTP listener and serves `router` on a thread of its own until `close` changes; requests
-/// under way are finished.
-fn http(
+/// Binds an HTTP listener and serves `router` on its own thread until `close` changes. Requests in
+/// flight are then finished.
+fn serve_http(
     name: &'static str,
     addr: SocketAddr,
     router: axum::Router,
@@ -437,5 +462,5 @@
             graceful.shutdown().await;
         });
     };
-    Ok((addr, thread(name, run)?))
+    Ok((addr, spawn_thread(name, run)?))
 }
--- a/crates/tgw-serve/src/status.rs
+++ b/crates/tgw-serve/src/status.rs
@@ -1,4 +1,4 @@
-//! What operators are told of one VM.
+//! The status that a VM reports to operators.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,96 +9,104 @@
 pub struct Status {
     /// The VM's name.
     pub vm: String,
-    /// Its place.
+    /// The VM's region and failure domain.
     pub place: String,
-    /// Whether it takes new queries.
+    /// Whether the VM accepts new queries.
     pub ready: bool,
-    /// Whether it leaves.
+    /// Whether the VM is draining.
     pub draining: bool,
     /// The edition of the table in force.
     pub edit: u64,
-    /// The version of the catalog in use.
-    pub world: u64,
-    /// The VMs as it sees them.
-    pub vms: Vec<VmLine>,
-    /// What the failure domains have in force.
-    pub domains: Vec<DomainLine>,
-    /// The upstreams as it sees them.
-    pub upstreams: Vec<UpstreamLine>,
-    /// Its counters.
+    /// The version of the catalog in force.
+    #[serde(rename = "world")]
+    pub catalog_version: u64,
+    /// The VMs as seen by this VM.
+    pub vms: Vec<VmStatus>,
+    /// The state of the table's rollout in each failure domain.
+    pub domains: Vec<DomainStatus>,
+    /// The upstreams as seen by this VM.
+    pub upstreams: Vec<UpstreamStatus>,
+    /// The VM's counters.
     pub counters: Counters,
 }
 
-/// One VM as another sees it.
+/// A VM as seen by the reporting VM.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct VmLine {
-    /// Its name.
+pub struct VmStatus {
+    /// The VM's name.
     pub name: String,
-    /// Its place.
+    /// The VM's region and failure domain.
     pub place: String,
-    /// Its state.
+    /// The VM's membership state.
     pub state: String,
-    /// Its peers' address.
+    /// The address on which the VM receives peer traffic.
     pub addr: String,
-    /// Whether its domain can be reached.
+    /// Whether the VM's failure domain is reachable.
     pub reachable: bool,
 }
 
-/// What a failure domain has in force.
+/// The state of the table's rollout in a failure domain.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct DomainLine {
-    /// The domain.
+pub struct DomainStatus {
+    /// The failure domain's number.
     pub domain: u8,
-    /// Whether it can be reached.
+    /// Whether the failure domain is reachable.
     pub reachable: bool,
-    /// The lowest edition in force at any of its live VMs.
+    /// The lowest table edition in force on any live VM of the domain.
     pub edit: u64,
-    /// VMs below the highest edition known there.
+    /// Number of VMs below the highest edition known in the domain.
     pub behind: u16,
-    /// One of these.
+    /// The name of one VM that is behind.
     pub example: Option<String>,
 }
 
-/// One upstream.
+/// An upstream as seen by the reporting VM.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct UpstreamLine {
-    /// The upstream.
+pub struct UpstreamStatus {
+    /// The upstream's identifier.
     pub upstream: String,
-    /// Its service.
+    /// The upstream's service.
     pub service: String,
-    /// Its group.
+    /// The upstream's replica group.
     pub group: String,
-    /// The name of the VM that owns it, as this VM sees it.
+    /// The name of the VM that owns the group, as seen by this VM.
     pub owner: String,
-    /// What its owner believes of it; empty where this VM is not the owner.
+    /// The owner's health estimate of the upstream; empty if this VM is not the owner.
     pub state: String,
-    /// Requests running on it from this VM.
+    /// Requests from this VM in flight at the upstream.
     pub running: usize,
-    /// Whether it leaves.
+    /// Whether the upstream is draining.
     pub leaving: bool,
 }
 
-/// Counts since the process started.
+/// Counters since the process started.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Counters {
-    /// Leaf requests, the first of each shard.
-    pub leafs: u64,
-    /// Leaf requests beyond the first, made by the entry.
-    pub extra_entry: u64,
-    /// Sendings beyond the first, made by owners.
-    pub extra_owner: u64,
-    /// Outcomes that came too late.
-    pub late: u64,
-    /// Outcomes that belonged to nothing asked here.
-    pub crossed: u64,
-    /// Queries begun again on another snapshot.
+    /// First leaf requests, one for each shard of a query.
+    #[serde(rename = "leafs")]
+    pub first_requests: u64,
+    /// Leaf requests beyond the first of a shard, made by the entry.
+    #[serde(rename = "extra_entry")]
+    pub extra_requests: u64,
+    /// Sends beyond the first of a leaf request, made by owners.
+    #[serde(rename = "extra_owner")]
+    pub extra_sends: u64,
+    /// Outcomes that arrived too late to be used.
+    #[serde(rename = "late")]
+    pub late_outcomes: u64,
+    /// Outcomes that match no request of this VM.
+    #[serde(rename = "crossed")]
+    pub unmatched_outcomes: u64,
+    /// Queries restarted on another snapshot.
     pub restarts: u64,
-    /// Whole answers.
-    pub whole: u64,
+    /// Complete answers.
+    #[serde(rename = "whole")]
+    pub complete: u64,
     /// Partial answers.
     pub partial: u64,
     /// Answers below the row's least coverage.
-    pub short: u64,
-    /// Queries refused as not run.
+    #[serde(rename = "short")]
+    pub below_least_coverage: u64,
+    /// Queries refused without being run.
     pub refused: u64,
 }
--- a/crates/tgw-serve/src/upstreams.rs
+++ b/crates/tgw-serve/src/upstreams.rs
@@ -1,6 +1,6 @@
 use crate::{
+    messages::{Command, CoreMessage},
     metrics::Gauges,
-    work::{Errand, Work},
 };
 use rand::Rng;
 use std::{
@@ -12,7 +12,7 @@
 use tgw_clock::{Clock, Freeze, Millis};
 use tgw_dispatch::{
     Leaf,
-    leaf::{Failure, Reply, Work as Kind},
+    leaf::{Failure, Reply, Work as Operation},
 };
 use tgw_ring::{Receiver, Sender};
 use tgw_topology::Upstream;
@@ -23,105 +23,112 @@
     time::sleep,
 };
 
-/// Connections beyond the slots: one for load probes, one for cancellations.
-const CONTROL: u32 = 2;
-/// How often an upstream is asked for its load.
-const PROBE: Millis = Millis::new(1000);
-/// Time for an upstream to answer a load probe.
-const PROBE_LIMIT: Millis = Millis::new(1000);
+/// Connections beyond the upstream's concurrency: one for load probes, one for cancellations.
+const CONTROL_CONNECTIONS: u32 = 2;
+/// Interval of load probes to an upstream, with a jitter of 20 %.
+const PROBE_INTERVAL_MS: Millis = Millis::new(1000);
+/// Time limit for a load probe.
+const PROBE_TIMEOUT_MS: Millis = Millis::new(1000);
 
-/// One upstream that this VM dispatches to.
-struct Served {
+/// An upstream that this VM dispatches to.
+struct Entry {
     client: Client,
     incarnation: Option<u64>,
-    /// Tells the probing task to stop.
-    _probing: watch::Sender<()>,
+    /// Stops the probe task when dropped.
+    _stop_probe: watch::Sender<()>,
 }
 
-struct Duty {
-    core: Sender<Work>,
+struct Worker {
+    core: Sender<CoreMessage>,
     gauges: Arc<Gauges>,
     clock: Arc<dyn Clock>,
-    /// Distinguishes this VM's requests from those of every other at the same upstream.
-    salt: u64,
-    served: RefCell<BTreeMap<Upstream, Served>>,
+    /// Added to send identifiers, so that the requests of different VMs to one upstream differ.
+    request_id_base: u64,
+    upstreams: RefCell<BTreeMap<Upstream, Entry>>,
     closing: RefCell<Vec<Client>>,
 }
 
-/// Runs the duty on the current thread until `stop` changes.
+/// Runs the worker on the current thread until `stop` changes.
 pub(crate) fn run(
-    core: Sender<Work>,
-    errands: Receiver<Errand>,
+    core: Sender<CoreMessage>,
+    commands: Receiver<Command>,
     gauges: Arc<Gauges>,
     clock: Arc<dyn Clock>,
     freeze: &Freeze,
-    salt: u64,
+    request_id_base: u64,
     mut stop: watch::Receiver<bool>,
 ) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let Ok(runtime) = runtime else { return };
-    let duty = Rc::new(Duty {
+    let worker = Rc::new(Worker {
         core,
         gauges,
         clock,
-        salt,
-        served: RefCell::default(),
+        request_id_base,
+        upstreams: RefCell::default(),
         closing: RefCell::default(),
     });
     LocalSet::new().block_on(&runtime, async move {
         loop {
             tokio::select! {
                 _ = stop.changed() => return,
-                () = errands.ready() => {}
+                () = commands.ready() => {}
             }
-            while let Some(errand) = errands.pop() {
-                duty.clone().handle(errand);
+            while let Some(command) = commands.pop() {
+                worker.clone().handle(command);
             }
             freeze.hold();
         }
     });
 }
 
-impl Duty {
-    fn handle(self: Rc<Self>, errand: Errand) {
-        match errand {
-            Errand::Send { ticket, upstream, leaf } => {
-                spawn_local(self.send(ticket, upstream, leaf));
+impl Worker {
+    fn handle(self: Rc<Self>, command: Command) {
+        match command {
+            Command::Send { send_id, upstream, leaf } => {
+                spawn_local(self.send(send_id, upstream, leaf));
             }
-            Errand::Abort { ticket, upstream } => {
-                let client = self.served.borrow().get(&upstream).map(|s| s.client.clone());
+            Command::Cancel { send_id, upstream } => {
+                let client = self.upstreams.borrow().get(&upstream).map(|e| e.client.clone());
                 if let Some(client) = client {
-                    let request = self.request(ticket);
+                    let request = self.request_id(send_id);
                     spawn_local(async move { client.cancel(request).await });
                 }
             }
-            Errand::Connect { upstream, addr, slots } => self.connect(upstream, addr, slots),
-            Errand::Disconnect(upstream) => {
-                if let Some(served) = self.served.borrow_mut().remove(&upstream) {
-                    served.client.close_idle();
-                    self.closing.borrow_mut().push(served.client);
+            Command::Connect { upstream, addr, max_concurrency } => {
+                self.connect(upstream, addr, max_concurrency);
+            }
+            Command::Disconnect(upstream) => {
+                if let Some(entry) = self.upstreams.borrow_mut().remove(&upstream) {
+                    entry.client.close_idle();
+                    self.closing.borrow_mut().push(entry.client);
                 }
-                self.count();
+                self.publish_connections();
             }
         }
     }
 
-    fn request(&self, ticket: u64) -> u64 {
-        self.salt.wrapping_add(ticket)
+    fn request_id(&self, send_id: u64) -> u64 {
+        self.request_id_base.wrapping_add(send_id)
     }
 
-    fn connect(self: Rc<Self>, upstream: Upstream, addr: std::net::SocketAddr, slots: u16) {
-        if self.served.borrow().contains_key(&upstream) {
+    fn connect(
+        self: Rc<Self>,
+        upstream: Upstream,
+        addr: std::net::SocketAddr,
+        max_concurrency: u16,
+    ) {
+        if self.upstreams.borrow().contains_key(&upstream) {
             return;
         }
-        let client = Client::open(addr, u32::from(slots) + CONTROL);
-        let (probing, stopped) = watch::channel(());
-        let served = Served { client: client.clone(), incarnation: None, _probing: probing };
-        self.served.borrow_mut().insert(upstream, served);
-        spawn_local(self.probe(upstream, client, u32::from(slots) + 1, stopped));
+        let client = Client::open(addr, u32::from(max_concurrency) + CONTROL_CONNECTIONS);
+        let (stop_probe, stopped) = watch::channel(());
+        let entry = Entry { client: client.clone(), incarnation: None, _stop_probe: stop_probe };
+        self.upstreams.borrow_mut().insert(upstream, entry);
+        spawn_local(self.probe(upstream, client, u32::from(max_concurrency) + 1, stopped));
     }
 
-    /// Keeps connections warm and asks for load until the upstream is given up.
+    /// Keeps connections open and probes the load until the upstream is disconnected.
     async fn probe(
         self: Rc<Self>,
         upstream: Upstream,
@@ -131,62 +138,69 @@
     ) {
         loop {
             client.warm(warm).await;
-            let probe = client.load(PROBE_LIMIT).await;
-            if let Some(held) = probe.held {
-                let _ = self.core.push(Work::Held(upstream, held));
+            let probe = client.load(PROBE_TIMEOUT_MS).await;
+            if let Some(snapshots) = probe.held {
+                let _ = self.core.push(CoreMessage::SnapshotsReported(upstream, snapshots));
             }
-            self.incarnation(upstream, probe.incarnation);
-            // A load endpoint may lag or lie: its word that the upstream leaves is taken, its word
-            // that all is well is not.
+            self.record_incarnation(upstream, probe.incarnation);
+            // A load endpoint may report stale or wrong data: a report that the upstream is draining
+            // is trusted, a report that it is healthy is not.
             if probe.result == Ok(true) {
-                let _ = self.core.push(Work::Leaving(upstream));
+                let _ = self.core.push(CoreMessage::Leaving(upstream));
             }
-            self.count();
-            let pause = PROBE.scale(rand::rng().random_range(0.8..1.2));
+            self.publish_connections();
+            let interval = PROBE_INTERVAL_MS.scale(rand::rng().random_range(0.8..1.2));
             tokio::select! {
                 _ = stopped.changed() => return,
-                () = sleep(pause.into()) => {}
+                () = sleep(interval.into()) => {}
             }
         }
     }
 
-    /// Notices that an upstream's process is another one than before.
-    fn incarnation(&self, upstream: Upstream, incarnation: Option<u64>) {
-        let mut served = self.served.borrow_mut();
-        let Some(served) = served.get_mut(&upstream) else { return };
+    /// Reports a restart when the upstream's process is not the one seen before.
+    fn record_incarnation(&self, upstream: Upstream, incarnation: Option<u64>) {
+        let mut upstreams = self.upstreams.borrow_mut();
+        let Some(entry) = upstreams.get_mut(&upstream) else { return };
         let Some(new) = incarnation else { return };
-        if served.incarnation.replace(new).is_some_and(|old| old != new) {
-            let _ = self.core.push(Work::Restarted(upstream));
+        if entry.incarnation.replace(new).is_some_and(|old| old != new) {
+            let _ = self.core.push(CoreMessage::Restarted(upstream));
         }
     }
 
-    async fn send(self: Rc<Self>, ticket: u64, upstream: Upstream, leaf: Leaf) {
-        let client = self.served.borrow().get(&upstream).map(|s| s.client.clone());
+    async fn send(self: Rc<Self>, send_id: u64, upstream: Upstream, leaf: Leaf) {
+        let client = self.upstreams.borrow().get(&upstream).map(|e| e.client.clone());
         let done = match client {
-            Some(client) if leaf.once() => self.order(client, ticket, leaf).await,
+            Some(client) if leaf.once() => self.order(client, send_id, leaf).await,
             Some(client) => {
                 let search = Search {
-                    request: self.request(ticket),
+                    request: self.request_id(send_id),
                     snapshot: leaf.snapshot,
                     shard: leaf.key.shard,
                     left: leaf.deadline - self.clock.now(),
                     body: leaf.body,
                 };
                 let probe = client.search(&search).await;
-                self.incarnation(upstream, probe.incarnation);
-                Work::Done { ticket, result: probe.result, held: probe.held }
+                self.record_incarnation(upstream, probe.incarnation);
+                CoreMessage::SendEnded { send_id, result: probe.result, snapshots: probe.held }
+            }
+            None => {
+                CoreMessage::SendEnded { send_id, result: Err(Failure::Connect), snapshots: None }
             }
-            None => Work::Done { ticket, result: Err(Failure::Connect), held: None },
         };
-        self.tell(done).await;
+        self.push_result(done).await;
     }
 
-    async fn order(&self, client: Client, ticket: u64, leaf: Leaf) -> Work {
-        let Kind::Order(name) = &leaf.work else {
-            return Work::Done { ticket, result: Err(Failure::Connect), held: None };
+    async fn order(&self, client: Client, send_id: u64, leaf: Leaf) -> CoreMessage {
+        let Operation::Order(name) = &leaf.work else {
+            return CoreMessage::SendEnded {
+                send_id,
+                result: Err(Failure::Connect),
+                snapshots: None,
+            };
         };
-        // A paused VM can come to this line long after the deadline, when the caller has been told
-        // what is not known: the clock is read last, and nothing is sent past it.
+        // A VM that was paused can reach this line long after the deadline, when the caller has already
+        // been told that the outcome is unknown. The clock is therefore read last, and nothing is sent
+        // after the deadline.
         let left = leaf.deadline - self.clock.now();
         let ordered = if left == Millis::ZERO {
             Ordered::NotSent
@@ -199,23 +213,23 @@
             Ordered::NotSent => Err(Failure::Connect),
             Ordered::Unknown => Err(Failure::Closed),
         };
-        Work::Done { ticket, result, held: None }
+        CoreMessage::SendEnded { send_id, result, snapshots: None }
     }
 
-    /// Hands a result over. It is not repeated by anyone, so it waits for room in the ring; the
-    /// number of waiting results is bounded by the upstreams' slots.
-    async fn tell(&self, mut work: Work) {
-        while let Err(back) = self.core.push(work) {
-            work = back;
+    /// Sends a result to the core. A result is never sent twice, so this waits for space in the ring;
+    /// the number of waiting results is bounded by the concurrency of the upstreams.
+    async fn push_result(&self, mut message: CoreMessage) {
+        while let Err(rejected) = self.core.push(message) {
+            message = rejected;
             sleep(Millis::new(1).into()).await;
         }
     }
 
-    fn count(&self) {
+    fn publish_connections(&self) {
         self.closing.borrow_mut().retain(|client| client.connections() > 0);
-        let served = self.served.borrow();
-        let open: u32 = served.values().map(|s| s.client.connections()).sum();
-        let opened: u64 = served.values().map(|s| s.client.opened()).sum();
+        let upstreams = self.upstreams.borrow();
+        let open: u32 = upstreams.values().map(|e| e.client.connections()).sum();
+        let opened: u64 = upstreams.values().map(|e| e.client.opened()).sum();
         self.gauges.connections.store(open.into(), Ordering::Relaxed);
         self.gauges.connections_opened.store(opened, Ordering::Relaxed);
     }
