--- /dev/null
+++ b/crates/tgw-bench/src/leaving/actions.rs
@@ -0,0 +1,193 @@
+use super::{
+    FaultKind,
+    platform::STORE_REPLY_MS,
+    setup::Subject,
+    simulation::{LEAVING_COUNT, SETTLE_MS, Scheduled, Simulation, TICK_INTERVAL_MS},
+    store::Change,
+    vm::Call,
+};
+use tgw_clock::Millis;
+use tgw_forward::upstream::Entry;
+use tgw_member::Event;
+use tgw_spread::follow::{LOST_NEAR, MARGIN, PROBE_EVERY, PROBE_REPLY, Probed, Step};
+
+/// One-way delay between VMs, within a region and between regions.
+pub(super) const SAME_REGION_DELAY_MS: Millis = Millis::from_micros(1_400);
+pub(super) const CROSS_REGION_DELAY_MS: Millis = Millis::new(20);
+/// Timeout of a store call other than a watch, as in the store's adapter.
+const STORE_CALL_TIMEOUT_MS: Millis = Millis::new(1_500);
+
+/// The decisions of a VM and its calls of the store.
+impl Simulation {
+    pub(super) fn step(&mut self, vm: usize) {
+        let state = &mut self.vms[vm];
+        if state.call.is_some() {
+            return;
+        }
+        let step = state.store_schedule.next(self.now, state.turn());
+        match step {
+            Step::Idle(time) | Step::Pause(time) => self.schedule_step(vm, self.now + time),
+            Step::List | Step::Watch { .. } => self.call(vm, step),
+        }
+    }
+
+    pub(super) fn schedule_step(&mut self, vm: usize, at: Millis) {
+        self.vms[vm].steps += 1;
+        let number = self.vms[vm].steps;
+        self.schedule(at, Scheduled::Step(vm, number));
+    }
+
+    pub(super) fn call(&mut self, vm: usize, step: Step) {
+        self.next += 1;
+        let number = self.next;
+        self.vms[vm].call = Some(Call { number, step, began: self.now });
+        self.schedule(self.now + SAME_REGION_DELAY_MS, Scheduled::CallReceived(vm, number));
+        let waits = match step {
+            Step::Watch { wait, .. } => wait,
+            _ => Millis::ZERO,
+        };
+        let limit = if waits > Millis::ZERO { MARGIN } else { STORE_CALL_TIMEOUT_MS };
+        self.schedule(self.now + waits + limit, Scheduled::Failed(vm, number));
+        if waits > Millis::ZERO {
+            // The watch ends without changes.
+            self.schedule(
+                self.now + waits + STORE_REPLY_MS,
+                Scheduled::Watched(vm, number, 0, vec![]),
+            );
+        }
+    }
+
+    /// A VM that watches the store probes whether it answers.
+    pub(super) fn probe(&mut self, vm: usize) {
+        self.schedule(self.now + PROBE_EVERY, Scheduled::Probe(vm));
+        if self.vms[vm].relay != Some(true) {
+            return;
+        }
+        let (after, probed) = match self.store_fault(vm) {
+            None => (self.answer_delay(), Probed::Answered),
+            Some(FaultKind::Refused) => (STORE_REPLY_MS, Probed::Refused),
+            Some(_) => (PROBE_REPLY, Probed::Silent),
+        };
+        self.schedule(self.now + after, Scheduled::Probed(vm, probed));
+    }
+
+    /// Ends a call and returns it, if it is still in flight.
+    pub(super) fn take_call(&mut self, vm: usize, call: u64) -> Option<Call> {
+        let done = self.vms[vm].call.filter(|c| c.number == call)?;
+        self.vms[vm].call = None;
+        Some(done)
+    }
+
+    pub(super) fn listed(
+        &mut self,
+        vm: usize,
+        call: u64,
+        version: u64,
+        entries: Vec<(u64, Entry)>,
+    ) {
+        if self.take_call(vm, call).is_none() {
+            return;
+        }
+        let state = &mut self.vms[vm];
+        if state.member.blind_near() >= LOST_NEAR {
+            state.view.with_upstreams(|view| view.lost(self.now));
+        }
+        state.store_schedule.listed(version);
+        state.reachability.read(state.view.read_mode());
+        state.view.listed(self.now, version, entries);
+        self.announce(vm);
+        self.step(vm);
+    }
+
+    pub(super) fn watched(&mut self, vm: usize, call: u64, version: u64, changes: Vec<Change>) {
+        // A watch that no longer waits at the store and brings no changes was lost.
+        let waits = self.waiting.iter().any(|w| w.1 == call);
+        if changes.is_empty() && !waits {
+            return;
+        }
+        self.waiting.retain(|w| w.1 != call);
+        if self.take_call(vm, call).is_none() {
+            return;
+        }
+        let state = &mut self.vms[vm];
+        let has_changes = !changes.is_empty();
+        state.view.with_upstreams(|view| view.answered(self.now));
+        changes.into_iter().for_each(|change| state.view.changed(self.now, version, change));
+        state.store_schedule.watched(self.now, version, has_changes);
+        if has_changes {
+            self.announce(vm);
+        }
+        self.step(vm);
+    }
+
+    pub(super) fn failed(&mut self, vm: usize, call: u64) {
+        let Some(Call { step, began, .. }) = self.take_call(vm, call) else { return };
+        self.waiting.retain(|w| w.1 != call);
+        let state = &mut self.vms[vm];
+        let blind_near = state.member.blind_near();
+        match step {
+            Step::List => {
+                state.view.with_upstreams(|view| view.lost(self.now));
+                state.store_schedule.failed(self.now, blind_near);
+                state.reachability.note(state.view.read_mode(), state.store_schedule.is_blind());
+            }
+            Step::Watch { wait, .. } => {
+                if self.now - began >= wait {
+                    state.view.with_upstreams(|view| view.lost(self.now));
+                }
+                state.store_schedule.stop(self.now);
+            }
+            Step::Idle(_) | Step::Pause(_) => {}
+        }
+        self.announce(vm);
+        self.step(vm);
+    }
+
+    pub(super) fn announce(&mut self, vm: usize) {
+        for event in self.vms[vm].announcements() {
+            self.handle_member_event(vm, event);
+        }
+    }
+
+    pub(super) fn tick(&mut self, vm: usize) {
+        self.schedule(self.now + TICK_INTERVAL_MS, Scheduled::Tick(vm));
+        self.handle_member_event(vm, Event::Tick);
+        let state = &mut self.vms[vm];
+        state.view.tick(self.now);
+        if self.now < SETTLE_MS {
+            return;
+        }
+        let state = &mut self.vms[vm];
+        let relay = Some(state.member.follows());
+        if relay == state.relay {
+            return;
+        }
+        state.relay = relay;
+        let watching = state.call.filter(|c| matches!(c.step, Step::Watch { .. }));
+        if let Some(call) = watching.filter(|_| relay == Some(false)) {
+            state.call = None;
+            state.store_schedule.stop(self.now);
+            self.waiting.retain(|w| w.1 != call.number);
+        }
+        self.step(vm);
+    }
+
+    /// Records when the VM learned of each change, and the least share of usable upstreams.
+    pub(super) fn record_learned(&mut self, vm: usize) {
+        let now = self.now;
+        let state = &mut self.vms[vm];
+        for (number, left) in self.left_at.iter().enumerate() {
+            if left.is_some() {
+                let has_learned = state.view.has_learned(number);
+                let learned_at = &mut state.learned_at[number];
+                *learned_at = has_learned.then(|| learned_at.unwrap_or(now));
+            }
+        }
+        let measured = self.setup.subject == Subject::Upstreams && now > SETTLE_MS;
+        if measured && state.measured_from == Millis::ZERO {
+            let live = LEAVING_COUNT..self.setup.upstreams;
+            let used = live.clone().filter(|number| state.view.may_send_to(*number)).count();
+            self.usable = self.usable.min(used as f64 / live.len() as f64);
+        }
+    }
+}
--- a/crates/tgw-bench/src/leaving/mod.rs
+++ b/crates/tgw-bench/src/leaving/mod.rs
@@ -1,25 +1,28 @@
-//! Upstreams that leave, and failure domains that are evacuated: how long after the store's acknowledgement the last VM may still send to them, under a
-//! virtual clock, with the decisions of a real VM and beside faults of the store, of VMs and of the ways between.
+//! Upstreams that leave and failure domains that are evacuated: how long after the store's
+//! acknowledgement the last VM may still send to them.
+//!
+//! The decision code of real VMs runs under a virtual clock, with faults of the store, the VMs and
+//! the network.
 
-/// What a VM does.
-mod acting;
-/// What a VM knows.
-mod known;
-/// What came of a run.
+/// Store calls and decisions of a VM.
+mod actions;
+/// The figures of a run.
 mod outcome;
-/// What VMs say to one another.
+/// Messages between VMs.
 mod peers;
-/// What happens at the store, and to whom.
+/// The store's replies and the faults.
 mod platform;
-/// What is played.
+/// Setups of runs.
 mod setup;
-/// What the store holds.
+/// The simulation of VMs, store and network.
+mod simulation;
+/// Contents of the store.
 mod store;
-/// One VM.
+/// A VM's view of the upstreams or evacuations.
+mod view;
+/// State of one VM.
 mod vm;
-/// The VMs, the store and the ways between them.
-mod world;
 
 pub use outcome::{Outcome, text};
-pub use setup::{Setup, Subject, Trouble, What, Whom, setups, turned_away};
-pub use world::play;
+pub use setup::{Fault, FaultKind, Setup, Subject, Target, setups, with_refused_watchers};
+pub use simulation::play;
--- a/crates/tgw-bench/src/leaving/outcome.rs
+++ b/crates/tgw-bench/src/leaving/outcome.rs
@@ -1,22 +1,23 @@
 use serde::Serialize;
 
-/// What came of it.
+/// Figures of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Outcome {
-    /// VMs in all.
+    /// VMs in total.
     pub vms: usize,
-    /// Time in ms from the store's acknowledgement of a leaving until a VM sends there no more: the median, 99 in 100,
-    /// and the last. What a VM that was paused or cut off knows counts from when the platform counts it as reachable.
+    /// Time in ms from the store's acknowledgement of a change until a VM stops sending there:
+    /// median, 99th percentile and maximum. For a VM that was paused or cut off it counts from when
+    /// the platform considers the VM reachable again.
     pub after_ms: [f64; 3],
-    /// Cases in which a VM did not learn of it until the end.
+    /// Cases in which a VM had not learned of a change by the end.
     pub never: usize,
-    /// The least part of the upstreams that live which any VM could send to at any time.
+    /// The least share of the live upstreams that any VM could send to at any time.
     pub usable: f64,
     /// Calls of the store.
     pub calls: usize,
 }
 
-/// Runs beside several troubles at several sizes, as a table.
+/// Formats the outcomes as a table.
 pub fn text(outcomes: &[(String, Outcome)]) -> String {
     let mut text = format!(
         "{:<46} {:>5} {:>24} {:>6} {:>7} {:>6}\n",
--- /dev/null
+++ b/crates/tgw-bench/src/leaving/simulation.rs
@@ -0,0 +1,303 @@
+use super::{
+    Outcome, Setup,
+    setup::Subject,
+    store::{Change, Store},
+    view::{Update, View},
+    vm::Vm,
+};
+use rand::{Rng, SeedableRng, rngs::SmallRng};
+use std::{
+    cmp::Reverse,
+    collections::{BTreeMap, BinaryHeap},
+    net::{Ipv4Addr, SocketAddr},
+    rc::Rc,
+};
+use tgw_clock::Millis;
+use tgw_forward::upstream::Entry;
+use tgw_member::{Event, Member, Options, Packet, Record};
+use tgw_spread::{
+    Follow,
+    follow::{Probed, Sight},
+};
+use tgw_topology::{
+    Place, Vm as Id,
+    place::{Domain, Region},
+};
+
+/// Interval between a VM's timer checks, as in the gateway.
+pub(super) const TICK_INTERVAL_MS: Millis = Millis::new(100);
+/// Time from which on a VM may act as a relay, as in the gateway.
+pub(super) const SETTLE_MS: Millis = Millis::new(1_500);
+/// Number of upstreams that leave, and the time within which they do.
+pub(super) const LEAVING_COUNT: usize = 8;
+const LEAVING_SPREAD_MS: Millis = Millis::new(25);
+/// How long a run continues after the upstreams leave.
+const RUN_AFTER_MS: Millis = Millis::new(14_000);
+
+/// A scheduled event.
+#[derive(Debug)]
+pub(super) enum Scheduled {
+    Tick(usize),
+    Packet { to: usize, from: SocketAddr, packet: Box<Packet> },
+    Records { to: usize, records: Vec<Record> },
+    Step(usize, u64),
+    Probe(usize),
+    Probed(usize, Probed),
+    CallReceived(usize, u64),
+    Listed(usize, u64, u64, Vec<(u64, Entry)>),
+    Watched(usize, u64, u64, Vec<Change>),
+    Failed(usize, u64),
+    UpdateRequest { to: usize, from: usize, version: u64, asked_at: Millis },
+    Update { to: usize, asked_at: Millis, update: Option<Update> },
+    UpdateTimeout { to: usize, asked_at: Millis },
+    FaultBegins(usize),
+    FaultEnds(usize),
+    SubjectChanges(usize),
+    Write(Rc<str>),
+    RewriteEntry,
+}
+
+/// The VMs, the store and the scheduled events.
+pub(super) struct Simulation {
+    pub(super) setup: Setup,
+    pub(super) now: Millis,
+    pub(super) vms: Vec<Vm>,
+    pub(super) store: Store,
+    /// Watches that wait at the store: VM, call, revision after which changes are wanted, deadline.
+    pub(super) waiting: Vec<(usize, u64, u64, Millis)>,
+    /// VMs affected by each active fault.
+    pub(super) affected: BTreeMap<usize, Vec<usize>>,
+    pub(super) left_at: Vec<Option<Millis>>,
+    pub(super) heap: BinaryHeap<Reverse<(Millis, u64)>>,
+    pub(super) events: BTreeMap<u64, Scheduled>,
+    pub(super) next: u64,
+    pub(super) calls: usize,
+    pub(super) usable: f64,
+    pub(super) rng: SmallRng,
+}
+
+/// Runs one setup.
+pub fn play(setup: Setup) -> Outcome {
+    let mut simulation = Simulation::new(setup);
+    let end = simulation.setup.leave_at + RUN_AFTER_MS;
+    while let Some(Reverse((at, number))) = simulation.heap.pop() {
+        if at > end {
+            break;
+        }
+        simulation.now = at;
+        if let Some(event) = simulation.events.remove(&number) {
+            simulation.handle(event);
+        }
+    }
+    simulation.outcome()
+}
+
+pub(super) fn address(index: usize) -> SocketAddr {
+    let [_, _, high, low] = (index as u32).to_be_bytes();
+    SocketAddr::from((Ipv4Addr::new(10, 9, high, low), 7802))
+}
+
+pub(super) fn index(addr: SocketAddr) -> usize {
+    let SocketAddr::V4(v4) = addr else { return usize::MAX };
+    let [_, _, high, low] = v4.ip().octets();
+    usize::from(u16::from_be_bytes([high, low]))
+}
+
+pub(super) fn name(number: usize) -> Rc<str> {
+    format!("u{number}").into()
+}
+
+pub(super) fn entry(id: Rc<str>, draining: bool, warmup: Millis) -> Entry {
+    let addr = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
+    let (service, domain) = ("s".into(), "d".into());
+    Entry { id, started: 0, service, addr, domain, slots: 1, draining, warmup }
+}
+
+impl Simulation {
+    fn new(setup: Setup) -> Self {
+        let mut simulation = Self {
+            now: Millis::ZERO,
+            vms: Vec::new(),
+            store: Store::default(),
+            waiting: Vec::new(),
+            affected: BTreeMap::new(),
+            left_at: vec![None; LEAVING_COUNT],
+            heap: BinaryHeap::new(),
+            events: BTreeMap::new(),
+            next: 0,
+            calls: 0,
+            usable: 1.0,
+            rng: SmallRng::seed_from_u64(setup.seed),
+            setup,
+        };
+        match simulation.setup.subject {
+            Subject::Upstreams => (0..simulation.setup.upstreams).for_each(|number| {
+                simulation.store.write(entry(name(number), false, Millis::ZERO));
+            }),
+            // Only the odd domains start evacuated: these are taken back.
+            Subject::Evacuations => (1..LEAVING_COUNT).step_by(2).for_each(|number| {
+                simulation.store.write(entry(name(number), false, Millis::ZERO));
+            }),
+        }
+        for number in 0..simulation.setup.vms {
+            let vm = simulation.vm(number);
+            simulation.vms.push(vm);
+            let jitter = TICK_INTERVAL_MS.scale(simulation.rng.random_range(0.0..1.0));
+            simulation.schedule(jitter, Scheduled::Tick(number));
+            simulation.schedule(jitter, Scheduled::Step(number, 0));
+            simulation.schedule(SETTLE_MS + jitter, Scheduled::Probe(number));
+        }
+        simulation.schedule_changes();
+        simulation
+    }
+
+    fn vm(&mut self, number: usize) -> Vm {
+        let Setup { vms, regions, .. } = self.setup;
+        let domains = if vms <= 9 { regions.max(3) } else { 2 * regions };
+        let domain = number % domains;
+        let region = domain % regions;
+        // Domains are assigned to regions in round-robin order, as the platform numbers them.
+        let place = Place { region: Region(region as u8), domain: Domain(domain as u8) };
+        let options = Options {
+            vm: Id::named(&format!("vm-{number}")),
+            name: format!("vm-{number}"),
+            incarnation: 1 << 16,
+            place,
+            addr: address(number),
+            seeds: (0..domains.min(vms)).map(address).collect(),
+            seed: self.rng.random(),
+        };
+        Vm {
+            addr: address(number),
+            region,
+            member: Member::new(options),
+            view: View::new(self.setup.subject, &self.store),
+            store_schedule: Follow::new(self.rng.random(), self.setup.subject.pace()),
+            reachability: Sight::default(),
+            relay: None,
+            call: None,
+            steps: 0,
+            request_sent_at: None,
+            paused_until: Millis::ZERO,
+            dead: false,
+            measured_from: Millis::ZERO,
+            learned_at: vec![None; LEAVING_COUNT],
+        }
+    }
+
+    fn schedule_changes(&mut self) {
+        for (number, fault) in self.setup.faults.clone().into_iter().enumerate() {
+            self.schedule(fault.at, Scheduled::FaultBegins(number));
+            self.schedule(fault.until, Scheduled::FaultEnds(number));
+        }
+        for number in 0..LEAVING_COUNT {
+            let within = LEAVING_SPREAD_MS.scale(self.rng.random_range(0.0..1.0));
+            self.schedule(self.setup.leave_at + within, Scheduled::SubjectChanges(number));
+        }
+        self.schedule(SETTLE_MS + SETTLE_MS, Scheduled::RewriteEntry);
+    }
+
+    pub(super) fn schedule(&mut self, at: Millis, event: Scheduled) {
+        self.next += 1;
+        self.heap.push(Reverse((at, self.next)));
+        self.events.insert(self.next, event);
+    }
+
+    fn handle(&mut self, event: Scheduled) {
+        let to = match &event {
+            Scheduled::Tick(vm) | Scheduled::Step(vm, _) => Some(*vm),
+            Scheduled::Probe(vm) | Scheduled::Probed(vm, _) => Some(*vm),
+            Scheduled::Listed(vm, ..) | Scheduled::Watched(vm, ..) | Scheduled::Failed(vm, _) => {
+                Some(*vm)
+            }
+            Scheduled::Packet { to, .. }
+            | Scheduled::Records { to, .. }
+            | Scheduled::UpdateRequest { to, .. } => Some(*to),
+            Scheduled::Update { to, .. } | Scheduled::UpdateTimeout { to, .. } => Some(*to),
+            _ => None,
+        };
+        if let Some(vm) = to.map(|to| &self.vms[to]) {
+            if vm.dead {
+                return;
+            }
+            if vm.paused_until > self.now {
+                let until = vm.paused_until;
+                return self.schedule(until, event);
+            }
+        }
+        match event {
+            Scheduled::Tick(vm) => self.tick(vm),
+            Scheduled::Packet { to, from, packet } => {
+                self.handle_member_event(to, Event::Packet(from, packet));
+            }
+            Scheduled::Records { to, records } => {
+                self.handle_member_event(to, Event::Records(records));
+            }
+            Scheduled::Step(vm, number) if number == self.vms[vm].steps => self.step(vm),
+            Scheduled::Step(..) => {}
+            Scheduled::Probe(vm) => self.probe(vm),
+            Scheduled::Probed(vm, probed) => {
+                match probed {
+                    Probed::Answered => {
+                        self.vms[vm].view.with_upstreams(|view| view.probed(self.now));
+                    }
+                    Probed::Silent => self.vms[vm].view.with_upstreams(|view| view.lost(self.now)),
+                    Probed::Refused => {}
+                }
+                self.vms[vm].reachability.probed(probed);
+                self.announce(vm);
+            }
+            Scheduled::CallReceived(vm, call) => self.receive_call(vm, call),
+            Scheduled::Listed(vm, call, version, entries) => {
+                self.listed(vm, call, version, entries);
+            }
+            Scheduled::Watched(vm, call, version, changes) => {
+                self.watched(vm, call, version, changes);
+            }
+            Scheduled::Failed(vm, call) => self.failed(vm, call),
+            Scheduled::UpdateRequest { to, from, version, asked_at } => {
+                self.serve_update_request(to, from, version, asked_at);
+            }
+            Scheduled::Update { to, asked_at, update } => self.receive_update(to, asked_at, update),
+            Scheduled::UpdateTimeout { to, asked_at } => {
+                if self.vms[to].request_sent_at == Some(asked_at) {
+                    self.vms[to].request_sent_at = None;
+                }
+            }
+            Scheduled::FaultBegins(number) => self.begin_fault(number),
+            Scheduled::FaultEnds(number) => self.end_fault(number),
+            Scheduled::SubjectChanges(number) => self.apply_change(number),
+            Scheduled::Write(id) => self.write(entry(id, false, Millis::ZERO)),
+            Scheduled::RewriteEntry => self.rewrite_entry(),
+        }
+        if let Some(vm) = to {
+            self.record_learned(vm);
+        }
+    }
+
+    fn outcome(&self) -> Outcome {
+        let mut after = Vec::new();
+        let mut never = 0;
+        for vm in self.vms.iter().filter(|vm| !vm.dead) {
+            for (left, learned_at) in self.left_at.iter().zip(&vm.learned_at) {
+                let Some(left) = left else { continue };
+                match learned_at {
+                    Some(at) => after.push((*at - (*left).max(vm.measured_from)).as_f64()),
+                    None => never += 1,
+                }
+            }
+        }
+        after.sort_by(f64::total_cmp);
+        let rank = |part: f64| {
+            let last = after.len().saturating_sub(1);
+            after.get((last as f64 * part) as usize).copied().unwrap_or(f64::NAN)
+        };
+        Outcome {
+            vms: self.vms.len(),
+            after_ms: [rank(0.5), rank(0.99), rank(1.0)],
+            never,
+            usable: self.usable,
+            calls: self.calls,
+        }
+    }
+}
--- a/crates/tgw-bench/src/leaving/store.rs
+++ b/crates/tgw-bench/src/leaving/store.rs
@@ -1,10 +1,10 @@
 use std::{collections::BTreeMap, rc::Rc};
 use tgw_forward::upstream::Entry;
 
-/// A change: the revision, the identity, and the entry unless it was removed.
+/// A change: its revision, the identity, and the entry unless it was removed.
 pub(crate) type Change = (u64, Rc<str>, Option<Entry>);
 
-/// What the platform's store holds.
+/// Contents of the platform's store.
 #[derive(Debug, Default)]
 pub(crate) struct Store {
     pub(crate) revision: u64,
--- a/crates/tgw-bench/src/leaving/vm.rs
+++ b/crates/tgw-bench/src/leaving/vm.rs
@@ -1,4 +1,4 @@
-use super::known::Known;
+use super::view::View;
 use std::net::SocketAddr;
 use tgw_clock::Millis;
 use tgw_member::{Event, Member};
@@ -7,7 +7,7 @@
     follow::{Sight, Step, Turn},
 };
 
-/// A call of the store that is under way.
+/// A call of the store that is in flight.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Call {
     pub(crate) number: u64,
@@ -15,25 +15,25 @@
     pub(crate) began: Millis,
 }
 
-/// One VM: the decisions of a real one, driven as the gateway drives them.
+/// State of one VM: its decision code, driven as in the gateway.
 pub(crate) struct Vm {
     pub(crate) addr: SocketAddr,
     pub(crate) region: usize,
     pub(crate) member: Member,
-    pub(crate) known: Known,
-    pub(crate) follow: Follow,
-    pub(crate) sight: Sight,
+    pub(crate) view: View,
+    pub(crate) store_schedule: Follow,
+    pub(crate) reachability: Sight,
     pub(crate) relay: Option<bool>,
     pub(crate) call: Option<Call>,
-    /// Only the last step that was set counts.
+    /// Number of the last scheduled step; earlier ones are ignored.
     pub(crate) steps: u64,
-    pub(crate) asking: Option<Millis>,
-    pub(crate) frozen_until: Millis,
+    pub(crate) request_sent_at: Option<Millis>,
+    pub(crate) paused_until: Millis,
     pub(crate) dead: bool,
-    /// From then on what it knows is judged.
-    pub(crate) judged_from: Millis,
+    /// Only changes learned from then on are measured, as the VM was unreachable before.
+    pub(crate) measured_from: Millis,
     /// When it stopped sending to each of the upstreams that leave.
-    pub(crate) aware: Vec<Option<Millis>>,
+    pub(crate) learned_at: Vec<Option<Millis>>,
 }
 
 impl Vm {
@@ -41,13 +41,13 @@
         Turn { relay: self.relay, known: true, due: Millis::MAX }
     }
 
-    /// What it has to tell others.
-    pub(crate) fn told(&mut self) -> Vec<Event> {
-        let version = self.known.version();
-        let news = match self.known {
-            Known::Upstreams(_) => Event::World(version),
-            Known::Evacuations(_) => Event::Evacuations(version),
+    /// Events that announce its version and whether it reaches the store.
+    pub(crate) fn announcements(&mut self) -> Vec<Event> {
+        let version = self.view.version();
+        let update = match self.view {
+            View::Upstreams(_) => Event::World(version),
+            View::Evacuations(_) => Event::Evacuations(version),
         };
-        vec![news, Event::Blind(self.sight.is_blind())]
+        vec![update, Event::Blind(self.reachability.is_blind())]
     }
 }
--- a/crates/tgw-bench/src/lib.rs
+++ b/crates/tgw-bench/src/lib.rs
@@ -1,42 +1,43 @@
-//! Experiments: the decision core of several VMs under a virtual clock, with small models of
-//! upstreams and of the way between places. The same seed gives the same figures.
+//! Experiments that run the decision core of several VMs under a virtual clock, with small models
+//! of the upstreams and of the network delay between places. The same seed gives the same figures.
 //!
-//! A measuring tool, not a cluster simulator: membership and platform are reduced to when a VM
-//! learns of a change, and every delay is a constant or drawn from one distribution.
+//! This is a measuring tool, not a cluster simulator: membership and the platform are reduced to
+//! the time at which a VM learns of a change, and every delay is a constant or drawn from one
+//! distribution.
 
-/// What callers get.
+/// Checks and counts the answers that callers get.
 mod answers;
-/// What goes wrong in a run.
+/// Injects faults into a run.
 mod faults;
-/// What one run yields.
+/// Figures of one run.
 pub mod figures;
-/// What forwarding on the users' platform costs.
+/// Cost of forwarding a query's parts.
 mod forward;
 /// Upstreams that leave, and how long VMs still send to them.
 pub mod leaving;
 /// Membership of many VMs under a virtual clock.
 pub mod members;
-/// The upstreams' model.
+/// Model of an upstream: slots, queue and service time.
 mod model;
-/// Forwarding under load at its worst.
+/// Forwarding under overload and faults of upstreams.
 pub mod overload;
 /// SVG plots.
 pub mod plot;
-/// The ways of dispatching that are compared.
+/// The dispatch policies that are compared.
 pub mod policy;
-/// The experiments.
+/// The experiments and their reports.
 pub mod scenario;
-/// What the upstreams do.
+/// How the modelled upstreams answer requests.
 mod serving;
-/// One run: how large, and what goes wrong.
+/// Configuration of one run: sizes and faults.
 mod setup;
-/// The virtual clock's loop.
+/// Event loop of the virtual clock.
 mod sim;
-/// What one unit of state or work costs.
+/// Cost of one unit of state or work.
 pub mod slopes;
-/// Starts of many VMs at once.
+/// Simultaneous starts of many VMs.
 pub mod starts;
-/// Cold upstreams that all VMs want to send to.
+/// Leases to send to cold upstreams, under demand from all VMs.
 pub mod warmup;
 
 pub use figures::Figures;
--- a/crates/tgw-bench/src/overload/scenario.rs
+++ b/crates/tgw-bench/src/overload/scenario.rs
@@ -1,55 +1,56 @@
-//! What goes wrong in a run, and when.
+//! The faults of a run and when they occur.
 
 use derive_more::Display;
 use serde::Serialize;
 use std::ops::Range;
 
-/// When it begins to go wrong, in s.
-pub(super) const FROM_S: f64 = 4.0;
-/// How long that lasts, in s.
-const LASTS_S: f64 = 5.0;
-/// The same of a query that comes again: some times as long as all VMs may take to know it.
-const DEATH_LASTS_S: f64 = 18.0;
-/// How long a run goes on after it, in s.
-const AFTER_S: f64 = 3.0;
-/// Time in s that all VMs together may take to know a query under which upstreams end, by the operators.
-pub(super) const KNOWN_S: f64 = 5.0;
+/// When the fault begins, in s.
+pub(super) const FAULT_START_S: f64 = 4.0;
+/// How long the fault lasts, in s.
+const FAULT_DURATION_S: f64 = 5.0;
+/// How long a repeated deadly query lasts, in s: several times the time in which all VMs must know
+/// it.
+const DEADLY_QUERY_DURATION_S: f64 = 18.0;
+/// How long a run continues after the fault, in s.
+const RECOVERY_S: f64 = 3.0;
+/// Time in s within which all VMs together must know a query that ends upstreams.
+pub(super) const QUARANTINE_BOUND_S: f64 = 5.0;
 
-/// One kind of trouble.
+/// A kind of fault.
 #[derive(Copy, Clone, Debug, Display, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Scenario {
-    /// Upstreams pause, 250 ms each 6 s, as on any day.
+    /// Upstreams pause for 250 ms every 6 s, as in normal operation.
     #[display("pauses")]
     Pauses,
-    /// 17 of 30 upstreams turn 0.6 of their requests away.
+    /// 17 of 30 upstreams shed 0.6 of their requests.
     #[display("shed-across")]
     ShedAcross,
     /// 15 in 100 upstreams are ten times slower.
     #[display("slow-across")]
     SlowAcross,
-    /// 15 in 100 upstreams are silent.
+    /// 15 in 100 upstreams do not answer.
     #[display("dark-across")]
     DarkAcross,
     /// Half of the upstreams lose 0.4 of their replies.
     #[display("replies-lost")]
     RepliesLost,
-    /// All VMs start anew and know nothing.
+    /// All VMs restart without any state.
     #[display("fleet-restart")]
     FleetRestart,
-    /// Three times the requests.
+    /// Three times the usual requests.
     #[display("burst")]
     Burst,
-    /// A query comes again and again under which each upstream ends that begins to run it.
+    /// A caller repeats a query that ends each upstream that begins to run it.
     #[display("query-of-death")]
     QueryOfDeath,
-    /// The same, each time from another of its caller's hosts.
+    /// The same, each time from another host of the caller.
     #[display("query-of-death-of-many-hosts")]
     QueryOfDeathOfManyHosts,
 }
 
 impl Scenario {
-    /// All of them.
+    /// All scenarios.
     pub const ALL: [Self; 9] = [
         Self::Pauses,
         Self::ShedAcross,
@@ -62,13 +63,13 @@
         Self::QueryOfDeathOfManyHosts,
     ];
 
-    /// The scenario of a name.
+    /// Returns the scenario of that name.
     pub fn named(name: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|s| s.to_string() == name)
     }
 
-    /// The part of the upstreams that it falls on.
-    pub(super) fn share(self) -> f64 {
+    /// The share of the upstreams that the fault affects.
+    pub(super) fn affected_ratio(self) -> f64 {
         match self {
             Self::ShedAcross => 17.0 / 30.0,
             Self::SlowAcross | Self::DarkAcross => 0.15,
@@ -78,32 +79,33 @@
         }
     }
 
-    /// Whether a query comes under which upstreams end.
-    pub(super) fn deadly(self) -> bool {
+    /// Whether the scenario has a query that ends upstreams.
+    pub(super) fn has_deadly_query(self) -> bool {
         matches!(self, Self::QueryOfDeath | Self::QueryOfDeathOfManyHosts)
     }
 
-    /// When it goes wrong, in ms.
-    pub(super) fn lasts(self) -> Range<f64> {
-        let lasts = if self.deadly() { DEATH_LASTS_S } else { LASTS_S };
-        FROM_S * 1_000.0..(FROM_S + lasts) * 1_000.0
+    /// When the fault lasts, in ms.
+    pub(super) fn fault_period(self) -> Range<f64> {
+        let lasts =
+            if self.has_deadly_query() { DEADLY_QUERY_DURATION_S } else { FAULT_DURATION_S };
+        FAULT_START_S * 1_000.0..(FAULT_START_S + lasts) * 1_000.0
     }
 
-    /// When queries come that are counted, in ms: also in the second after it; where upstreams end under a query,
-    /// once all VMs may know it.
-    pub(super) fn counted(self) -> Range<f64> {
-        let Range { start, end } = self.lasts();
-        let known = if self.deadly() { KNOWN_S * 1_000.0 } else { 0.0 };
+    /// Arrival times in ms of the queries that are counted: during the fault and one second after
+    /// it; with a deadly query, only from when all VMs must know it.
+    pub(super) fn counted_period(self) -> Range<f64> {
+        let Range { start, end } = self.fault_period();
+        let known = if self.has_deadly_query() { QUARANTINE_BOUND_S * 1_000.0 } else { 0.0 };
         start + known..end + 1_000.0
     }
 
     /// Length of a run, in ms.
-    pub(super) fn length(self) -> f64 {
-        self.lasts().end + AFTER_S * 1_000.0
+    pub(super) fn duration_ms(self) -> f64 {
+        self.fault_period().end + RECOVERY_S * 1_000.0
     }
 
-    /// How many times the usual requests come while it lasts.
-    pub(super) fn load(self) -> f64 {
+    /// Factor on the usual request rate during the fault.
+    pub(super) fn load_factor(self) -> f64 {
         if self == Self::Burst { 3.0 } else { 1.0 }
     }
 }
--- /dev/null
+++ b/crates/tgw-bench/src/overload/termination.rs
@@ -0,0 +1,159 @@
+use super::{
+    run::{Event, Sim},
+    vms::{REGIONS, add_upstream, connect},
+};
+use rand::seq::index;
+use tgw_clock::Millis;
+use tgw_forward::{plan::Ended, upstream::Sign};
+use tgw_quarantine::{
+    Fingerprint, ledger,
+    message::{End, News, Seen},
+};
+
+/// Time after which the store no longer lists an upstream that ended.
+const UNLIST_DELAY_MS: Millis = Millis::new(2_400);
+
+/// VMs to which each VM forwards a new update, as in the gateway.
+const UPDATE_FANOUT: usize = 8;
+
+/// A request at an upstream or on its way there, with the numbers of the events that will end it.
+pub(super) struct InFlight {
+    /// Event at the VM that took the query in.
+    pub(super) ended: u64,
+    /// Event at the peer VM that sends on its behalf.
+    pub(super) hosted: Option<u64>,
+    /// When the request reaches the upstream.
+    pub(super) arrives: Millis,
+    /// The VM on whose connection it arrives.
+    pub(super) from: usize,
+    pub(super) print: Fingerprint,
+    pub(super) seen: Seen,
+}
+
+/// Upstreams that end, and the processes that replace them.
+impl Sim {
+    /// Records a request that an upstream holds.
+    pub(super) fn record_in_flight(&mut self, upstream: usize, request: InFlight) {
+        let events = &self.events;
+        let in_flight = &mut self.in_flight[upstream];
+        in_flight.retain(|f| events.contains_key(&f.ended));
+        in_flight.push(request);
+    }
+
+    /// Ends an upstream's process of this `generation`, unless it has ended already. Requests that
+    /// it holds break; requests on their way to it are refused.
+    pub(super) fn end(&mut self, now: Millis, upstream: usize, generation: u32) {
+        if self.pool.upstreams[upstream].generation() != generation {
+            return;
+        }
+        let restart_at = self.pool.upstreams[upstream].end(now);
+        self.tally.terminations.record(now);
+        self.schedule(now + UNLIST_DELAY_MS, Event::Unlisted { upstream, generation });
+        self.schedule(restart_at, Event::Started { upstream, generation: generation + 1 });
+        for request in std::mem::take(&mut self.in_flight[upstream]) {
+            let InFlight { ended, hosted, arrives, from, print, seen } = request;
+            let held = arrives <= now;
+            let delay = self.pool.delay(self.vms[from].region, upstream % REGIONS);
+            // The sender opens a new connection after the break, which is refused.
+            let reconnect_delay = delay.scale(2.0);
+            if held {
+                let end = termination_report(upstream, generation, print, seen);
+                self.schedule(
+                    now + delay + reconnect_delay,
+                    Event::EndDetected { vm: from, upstream, generation, end },
+                );
+            }
+            let at = arrives.max(now);
+            let sign = if held { Sign::Broken } else { Sign::Unreachable };
+            if let Some(Event::Hosted { vm, ticket, .. }) =
+                hosted.and_then(|h| self.events.remove(&h))
+            {
+                self.schedule(at + reconnect_delay, Event::Hosted { vm, ticket, sign, load: None });
+            }
+            if let Some(Event::Ended { vm, query, part, ticket, .. }) = self.events.remove(&ended) {
+                let delay = self.pool.delay(self.vms[vm].region, upstream % REGIONS);
+                let ended = if held { Ended::Gone } else { Ended::Unsent };
+                let extra_delay = if held { reconnect_delay } else { Millis::ZERO };
+                self.schedule(
+                    at + delay + extra_delay,
+                    Event::Ended { vm, query, part, ticket, sign, ended },
+                );
+            }
+        }
+    }
+
+    /// A VM finds that an upstream ended during a request.
+    pub(super) fn detect_end(
+        &mut self,
+        now: Millis,
+        vm: usize,
+        (upstream, generation): (usize, u32),
+        end: &End,
+    ) {
+        let core = &mut self.vms[vm].core;
+        if let Some(key) = core.fleet.key(&name(upstream, generation)) {
+            core.fleet.lost(now, key);
+        }
+        core.quarantine.ended(now, end);
+        self.forward_updates(now, vm);
+    }
+
+    /// A VM receives an update on quarantined requests from a peer.
+    pub(super) fn receive_update(&mut self, now: Millis, vm: usize, update: &News) {
+        let ledger = &mut self.vms[vm].core.quarantine;
+        for end in &update.ends {
+            ledger.ended(now, end);
+        }
+        for hold in &update.holds {
+            ledger.merge(now, hold);
+        }
+        self.forward_updates(now, vm);
+    }
+
+    /// Forwards the updates that are new to a VM to some randomly chosen peers.
+    fn forward_updates(&mut self, now: Millis, vm: usize) {
+        while let Some(update) = self.vms[vm].core.quarantine.take_news() {
+            let others: Vec<usize> = (0..self.vms.len()).filter(|other| *other != vm).collect();
+            for at in index::sample(&mut self.rng, others.len(), UPDATE_FANOUT.min(others.len())) {
+                let to = others[at];
+                let delay = self.pool.delay(self.vms[vm].region, self.vms[to].region);
+                self.schedule(
+                    now + delay,
+                    Event::UpdateReceived { vm: to, update: update.clone() },
+                );
+            }
+        }
+    }
+
+    /// All VMs remove an upstream that has ended.
+    pub(super) fn unlist(&mut self, upstream: usize, generation: u32) {
+        for vm in &mut self.vms {
+            vm.core.fleet.remove(&name(upstream, generation));
+        }
+    }
+
+    /// All VMs add an upstream that started, and the VMs of its region connect to it.
+    pub(super) fn add_upstream(&mut self, now: Millis, upstream: usize, generation: u32) {
+        for vm in &mut self.vms {
+            add_upstream(&mut vm.core, now, upstream, generation);
+            if vm.region == upstream % REGIONS {
+                connect(&mut vm.core, upstream, generation);
+            }
+        }
+    }
+}
+
+fn termination_report(upstream: usize, generation: u32, print: Fingerprint, seen: Seen) -> End {
+    let service = ledger::name(&format!("s{}", upstream / REGIONS));
+    End { print, service, upstream: ledger::name(&name(upstream, generation)), seen }
+}
+
+/// Identity of an upstream's process of this generation.
+pub(super) fn name(upstream: usize, generation: u32) -> String {
+    format!("i-{upstream}.{generation}")
+}
+
+/// Number of the upstream with this identity.
+pub(super) fn number(id: &str) -> Option<usize> {
+    id.strip_prefix("i-")?.split('.').next()?.parse().ok()
+}
--- a/crates/tgw-bench/src/plot.rs
+++ b/crates/tgw-bench/src/plot.rs
@@ -17,7 +17,7 @@
     RGBColor(200, 100, 150),
 ];
 
-/// Writes the latency distribution and the course over time of `report` into `dir`.
+/// Writes plots of the latency distribution and the time series of `report` into `dir`.
 pub fn write(report: &Report, dir: &Path) -> anyhow::Result<()> {
     std::fs::create_dir_all(dir)?;
     let name = format!("{}-{}", report.scenario, report.user);
@@ -49,7 +49,7 @@
     let all = || lines.iter().flat_map(|(_, l)| l.iter().copied());
     let most = |pick: fn(&(f64, f64)) -> f64| all().map(|p| pick(&p)).fold(0.0, f64::max);
     let (right, top) = (most(|p| p.0).max(0.1), most(|p| p.1).max(1.0) * 1.05);
-    let failed = |e: &dyn std::fmt::Display| anyhow!("plot {}: {e}", path.display());
+    let failed = |e: &dyn std::fmt::Display| anyhow!("cannot draw plot {}: {e}", path.display());
     let area = SVGBackend::new(path, SIZE).into_drawing_area();
     area.fill(&WHITE).map_err(|e| failed(&e))?;
     let mut chart = ChartBuilder::on(&area)
--- a/crates/tgw-bench/src/setup.rs
+++ b/crates/tgw-bench/src/setup.rs
@@ -3,63 +3,63 @@
 use tgw_standin::size::{Spread, User};
 use tgw_table::Document;
 
-/// What goes wrong in a run, and when.
+/// A fault that is injected into a run.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// The same 5% of upstreams are ten times slower from now on.
+    /// From now on the same 5% of upstreams are ten times slower.
     Stragglers,
-    /// Every 300 ms another 5% are ten times slower.
+    /// Every 300 ms another 5% of upstreams become ten times slower.
     StragglersInTurn,
     /// One replica of every shard breaks its connections.
     ReplicaLost,
-    /// A newer index version arrives at one replica after the other, this far apart; then the older
-    /// one goes in the same way.
-    Version(Millis),
+    /// A newer index version arrives at one third of the replicas after the other, at this
+    /// interval; then the older one is removed in the same order.
+    VersionRollout(Millis),
     /// The same with a layout of twice the shards.
     Repartition(Millis),
-    /// A third of the upstreams are restarted cold.
-    Cold,
-    /// An upstream says with each reply that it leaves, and nothing else does.
+    /// A third of the upstreams restart cold.
+    ColdRestart,
+    /// An upstream reports with each reply that it drains, and in no other way.
     Draining,
     /// VM 1 is killed.
-    Kill,
+    KillVm,
     /// VM 1 is paused for this time.
-    Pause(Millis),
-    /// VM 0's failure domain is cut off from the others for this time.
+    PauseVm(Millis),
+    /// The failure domain of VM 0 is partitioned from the others for this time.
     Partition(Millis),
-    /// One reply in ten comes twice, one in ten 30 ms late, one in ten belongs to another shard.
+    /// One reply in ten arrives twice, one in ten 30 ms late, and one in ten for another shard.
     Mangled,
-    /// Half the replicas break their connections for this time.
-    HalfLost(Millis),
-    /// This VM is told to leave, has this time to finish, and is then started anew.
-    Replace(usize, Millis),
+    /// Half of the replicas break their connections for this time.
+    HalfReplicasLost(Millis),
+    /// This VM is told to leave, has this time to finish, and then restarts.
+    ReplaceVm(usize, Millis),
 }
 
-/// One run.
+/// Configuration of one run.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// Whose size.
+    /// The modelled deployment whose sizes are used.
     pub user: User,
-    /// VMs.
+    /// Number of VMs.
     pub vms: usize,
-    /// How instances' upstreams lie.
+    /// How the upstreams of an instance are placed.
     pub spread: Spread,
-    /// Whether places are apart; without, every way takes no time.
-    pub hops: bool,
-    /// Seed of all that is random.
+    /// Whether messages between places are delayed; if not, they take no time.
+    pub network_delays: bool,
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// Demand as a part of all slots.
+    /// Demand as a share of all slots.
     pub load: f64,
-    /// Time that is not measured.
+    /// Time before the measurement begins.
     pub warm_up: Millis,
-    /// Time that is measured.
+    /// Measured time.
     pub measured: Millis,
     /// Queries that one VM runs at once over all services.
-    pub places: u32,
-    /// The table.
+    pub max_running: u32,
+    /// The table of services.
     pub table: Document,
-    /// What goes wrong, and when after the start.
+    /// The faults, and when they occur after the start.
     pub faults: Vec<(Millis, Fault)>,
-    /// Where the first VM's core is recorded.
+    /// File for a trace of the first VM's core.
     pub record: Option<PathBuf>,
 }
