--- a/crates/tgw-bench/src/sim.rs
+++ b/crates/tgw-bench/src/sim.rs
@@ -1,8 +1,8 @@
 use crate::{
-    faults::RESET,
+    faults::RESET_DELAY_MS,
     figures::{Collector, Figures},
     model::{self, Job, Upstream},
-    policy::{Policy, Truth},
+    policy::{Policy, SlowUpstreams},
     setup::Setup,
 };
 use bytes::Bytes;
@@ -30,35 +30,64 @@
     place::{Distance, Domain},
 };
 
-const TICK: Millis = Millis::new(1);
-/// Requests that wait at an upstream before more are shed, as a multiple of its slots.
-const BACKLOG: usize = 2;
-/// Backlog under direct dispatch, where upstreams queue: as good as without bound.
-const DIRECT_BACKLOG: usize = 10_000;
-/// Time after the end in which running queries may still be answered.
-const TAIL: Millis = Millis::new(3000);
+const TICK_INTERVAL_MS: Millis = Millis::new(1);
+/// Requests that may queue at an upstream before it sheds more, as a multiple of its slots.
+const QUEUE_LIMIT_FACTOR: usize = 2;
+/// Queue limit under direct dispatch, where requests queue at the upstreams: high enough never to
+/// be reached.
+const DIRECT_QUEUE_LIMIT_FACTOR: usize = 10_000;
+/// Time after the end of the measurement in which running queries may still be answered.
+const ANSWER_GRACE_MS: Millis = Millis::new(3000);
 
 #[derive(Debug)]
 pub(crate) enum Event {
     Arrive(Service),
-    Letter { to: usize, life: u32, from: usize, message: Message },
-    Lost { at: usize, vm: usize },
-    AtUpstream { upstream: usize, job: Box<Job> },
-    Finish { upstream: usize, run: u64 },
-    Stop { upstream: usize, vm: usize, ticket: u64 },
-    Done { vm: usize, life: u32, ticket: u64, result: Result<Reply, Failure>, held: Option<Held> },
+    PeerMessage {
+        to: usize,
+        generation: u32,
+        from: usize,
+        message: Message,
+    },
+    ConnectionLost {
+        at: usize,
+        vm: usize,
+    },
+    AtUpstream {
+        upstream: usize,
+        job: Box<Job>,
+    },
+    Finish {
+        upstream: usize,
+        run: u64,
+    },
+    Cancel {
+        upstream: usize,
+        vm: usize,
+        ticket: u64,
+    },
+    Done {
+        vm: usize,
+        generation: u32,
+        ticket: u64,
+        result: Result<Reply, Failure>,
+        held: Option<Held>,
+    },
     Tick(usize, u32),
     Fault(usize),
-    Turn,
+    MoveStragglers,
     Directory,
     Resume(usize),
-    Rejoin,
-    Roll { step: usize, new: Snapshot, gap: Millis },
-    Mend,
+    HealPartition,
+    RolloutStep {
+        step: usize,
+        new: Snapshot,
+        gap: Millis,
+    },
+    RepairUpstreams,
     Restart(usize),
 }
 
-pub(crate) struct Waiting {
+pub(crate) struct PendingQuery {
     pub(crate) service: Service,
     pub(crate) at: Millis,
     pub(crate) body: u64,
@@ -69,18 +98,18 @@
     pub(crate) node: Node,
     pub(crate) vm: Vm,
     pub(crate) place: Place,
-    pub(crate) life: u32,
-    pub(crate) up: bool,
-    pub(crate) paused: Vec<Event>,
+    pub(crate) generation: u32,
+    pub(crate) is_up: bool,
+    pub(crate) deferred: Vec<Event>,
     pub(crate) is_paused: bool,
-    /// It has said that it leaves.
+    /// The VM has announced that it leaves.
     pub(crate) leaving: bool,
 }
 
 impl VmState {
-    /// Whether the balancer sends it callers.
-    fn takes_callers(&self) -> bool {
-        self.up && !self.is_paused && !self.leaving
+    /// Whether the load balancer sends callers to this VM.
+    fn accepts_callers(&self) -> bool {
+        self.is_up && !self.is_paused && !self.leaving
     }
 }
 
@@ -97,16 +126,16 @@
     pub(crate) vms: Vec<VmState>,
     pub(crate) upstreams: Vec<Upstream>,
     pub(crate) catalog: Catalog,
-    pub(crate) truth: Truth,
-    pub(crate) waiting: BTreeMap<(usize, u64), Waiting>,
+    pub(crate) slow_upstreams: SlowUpstreams,
+    pub(crate) pending: BTreeMap<(usize, u64), PendingQuery>,
     pub(crate) next_token: u64,
     pub(crate) sent_measured: BTreeSet<Query>,
     pub(crate) collector: Collector,
-    pub(crate) cut: BTreeSet<(Domain, Domain)>,
-    pub(crate) mangled: bool,
+    pub(crate) partitioned: BTreeSet<(Domain, Domain)>,
+    pub(crate) mangles_replies: bool,
 }
 
-/// Runs one policy through one setup.
+/// Runs one setup with one policy.
 pub fn run(setup: &Setup, policy: Policy) -> Figures {
     let mut sim = Sim::new(setup.clone(), policy);
     sim.run();
@@ -118,20 +147,21 @@
 impl Sim {
     fn new(setup: Setup, policy: Policy) -> Self {
         let catalog = setup.user.catalog(setup.spread);
-        let distance = if setup.hops {
+        let distance = if setup.network_delays {
             setup.user.distance()
         } else {
             Distance { local: 0.0, domains: 0.0, regions: 0.0 }
         };
-        let truth = Truth::default();
-        let backlog = if policy.direct() { DIRECT_BACKLOG } else { BACKLOG };
+        let slow_upstreams = SlowUpstreams::default();
+        let queue_limit =
+            if policy.is_direct() { DIRECT_QUEUE_LIMIT_FACTOR } else { QUEUE_LIMIT_FACTOR };
         let held = |node: &tgw_topology::catalog::Node| {
             catalog.services.get(&node.service).map(|s| s.snapshots.clone()).unwrap_or_default()
         };
         let upstreams = catalog
             .upstreams
             .values()
-            .map(|n| Upstream::new(n, held(n), backlog * usize::from(n.slots)))
+            .map(|n| Upstream::new(n, held(n), queue_limit * usize::from(n.slots)))
             .collect();
         let mut sim = Self {
             policy,
@@ -145,13 +175,13 @@
             vms: Vec::new(),
             upstreams,
             catalog,
-            truth,
-            waiting: BTreeMap::new(),
+            slow_upstreams,
+            pending: BTreeMap::new(),
             next_token: 1,
             sent_measured: BTreeSet::new(),
             collector: Collector::new(),
-            cut: BTreeSet::new(),
-            mangled: false,
+            partitioned: BTreeSet::new(),
+            mangles_replies: false,
             setup,
         };
         for index in 0..sim.setup.vms {
@@ -161,15 +191,15 @@
         sim
     }
 
-    pub(crate) fn make_vm(&self, index: usize, life: u32) -> VmState {
+    pub(crate) fn make_vm(&self, index: usize, generation: u32) -> VmState {
         let vm = Vm::named(&format!("vm-{index}"));
         let place = size::place(index);
         let identity = Identity {
             vm,
-            incarnation: (index as u64 + 1) << 20 | u64::from(life),
+            incarnation: (index as u64 + 1) << 20 | u64::from(generation),
             place,
             distance: self.distance,
-            places: self.setup.places,
+            places: self.setup.max_running,
             sample: u64::from(self.setup.record.is_some()),
         };
         let mut node = Node::new(self.options(&identity));
@@ -183,55 +213,56 @@
             node,
             vm,
             place,
-            life,
-            up: true,
-            paused: Vec::new(),
+            generation,
+            is_up: true,
+            deferred: Vec::new(),
             is_paused: false,
             leaving: false,
         }
     }
 
     fn options(&self, identity: &Identity) -> Options {
-        let (policy, seed, truth) = (self.policy, self.setup.seed, self.truth.clone());
+        let (policy, seed, slow_upstreams) =
+            (self.policy, self.setup.seed, self.slow_upstreams.clone());
         if policy == Policy::Tier {
             return Options::shipped(identity);
         }
         Options {
             entry: tgw_query::Options {
                 adapt: false,
-                hedge: policy.hedges() && !policy.direct(),
+                hedge: policy.sends_hedges() && !policy.is_direct(),
                 ..Options::shipped(identity).entry
             },
             place: identity.place,
             distance: identity.distance,
-            policy: Box::new(move |group| policy.pick(seed, &truth, group)),
+            policy: Box::new(move |group| policy.selection(seed, &slow_upstreams, group)),
             dispatch: policy.options(),
         }
     }
 
-    pub(crate) fn at(&mut self, time: Millis, event: Event) {
+    pub(crate) fn schedule(&mut self, time: Millis, event: Event) {
         self.seq += 1;
         self.heap.push(Reverse((time, self.seq)));
         self.events.insert(self.seq, event);
     }
 
-    pub(crate) fn after(&mut self, delay_ms: f64, event: Event) {
-        self.at(self.now + Millis::from_f64(delay_ms), event);
+    pub(crate) fn schedule_after(&mut self, delay_ms: f64, event: Event) {
+        self.schedule(self.now + Millis::from_f64(delay_ms), event);
     }
 
     fn run(&mut self) {
         for index in 0..self.vms.len() {
-            self.introduce(index);
-            self.after(0.1 * index as f64, Event::Tick(index, 1));
+            self.send_initial_state(index);
+            self.schedule_after(0.1 * index as f64, Event::Tick(index, 1));
         }
         let services: Vec<Service> = self.catalog.services.keys().copied().collect();
         for service in services {
             self.schedule_arrival(service);
         }
         for index in 0..self.setup.faults.len() {
-            self.at(self.setup.faults[index].0, Event::Fault(index));
+            self.schedule(self.setup.faults[index].0, Event::Fault(index));
         }
-        let end = self.setup.warm_up + self.setup.measured + TAIL;
+        let end = self.setup.warm_up + self.setup.measured + ANSWER_GRACE_MS;
         while let Some(Reverse((time, seq))) = self.heap.pop() {
             if time > end {
                 break;
@@ -242,11 +273,11 @@
             }
         }
         // Every measured query must have been answered or refused by now.
-        self.collector.lost += self.waiting.values().filter(|w| w.measured).count() as u64;
+        self.collector.lost += self.pending.values().filter(|w| w.measured).count() as u64;
     }
 
-    /// Tells a VM what it knows at its start.
-    pub(crate) fn introduce(&mut self, index: usize) {
+    /// Gives a VM the catalog, the table and the directory when it starts.
+    pub(crate) fn send_initial_state(&mut self, index: usize) {
         let directory = Arc::new(self.directory(index));
         let catalog = Arc::new(self.catalog_for(index));
         let table = Arc::new(self.setup.table.clone());
@@ -255,7 +286,7 @@
         self.input(index, Input::Directory(directory));
     }
 
-    /// The catalog; with fixed shares each VM is told of its part of the slots only.
+    /// The catalog. With fixed shares, each VM sees only its share of the slots.
     pub(crate) fn catalog_for(&self, _index: usize) -> Catalog {
         let mut catalog = self.catalog.clone();
         if self.policy == Policy::DirectShares {
@@ -263,7 +294,7 @@
             for node in catalog.upstreams.values_mut() {
                 node.slots = (node.slots / vms).max(1);
             }
-        } else if self.policy.direct() {
+        } else if self.policy.is_direct() {
             for node in catalog.upstreams.values_mut() {
                 node.slots = u16::MAX;
             }
@@ -271,19 +302,20 @@
         catalog
     }
 
-    /// The VMs as VM `index` sees them; under direct dispatch each owns all groups itself.
+    /// The directory as VM `index` sees it. Under direct dispatch a VM sees only itself, and so
+    /// owns all groups.
     pub(crate) fn directory(&self, index: usize) -> Directory {
         let addr = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
         let mut directory = Directory::default();
         let here = self.vms[index].place.domain;
         for (other, state) in self.vms.iter().enumerate() {
             let own = other == index;
-            if (self.policy.direct() && !own) || !state.up {
+            if (self.policy.is_direct() && !own) || !state.is_up {
                 continue;
             }
             let member = Member {
                 name: format!("vm-{other}"),
-                incarnation: u64::from(state.life),
+                incarnation: u64::from(state.generation),
                 place: state.place,
                 addr,
                 state: if state.leaving { State::Leaving } else { State::Alive },
@@ -291,7 +323,7 @@
             };
             directory.members.insert(state.vm, member);
         }
-        directory.cut = self.cut.iter().filter(|c| c.0 == here).map(|c| c.1).collect();
+        directory.cut = self.partitioned.iter().filter(|c| c.0 == here).map(|c| c.1).collect();
         directory
     }
 
@@ -308,43 +340,43 @@
         let per_ms = self.setup.load * slots / model::mean_ms() / shards;
         let gap = Exp::new(per_ms).map_or(1.0, |e| e.sample(&mut self.arrivals));
         if self.now < self.setup.warm_up + self.setup.measured {
-            self.after(gap, Event::Arrive(service));
+            self.schedule_after(gap, Event::Arrive(service));
         }
     }
 
     pub(crate) fn handle(&mut self, event: Event) {
         match event {
             Event::Arrive(service) => self.arrive(service),
-            Event::Letter { to, life, from, message } => {
-                if self.held_back(to, life) {
-                    let event = Event::Letter { to, life, from, message };
-                    return self.vms[to].paused.push(event);
+            Event::PeerMessage { to, generation, from, message } => {
+                if self.is_deferred(to, generation) {
+                    let event = Event::PeerMessage { to, generation, from, message };
+                    return self.vms[to].deferred.push(event);
                 }
-                let cut = self.is_cut(self.vms[from].place, self.vms[to].place);
-                if self.vms[to].up && self.vms[to].life == life && !cut {
+                let partitioned = self.is_partitioned(self.vms[from].place, self.vms[to].place);
+                if self.vms[to].is_up && self.vms[to].generation == generation && !partitioned {
                     let sender = self.vms[from].vm;
                     self.input(to, Input::Peer(sender, message));
                 }
             }
-            Event::Lost { at, vm } => {
+            Event::ConnectionLost { at, vm } => {
                 let vm = self.vms[vm].vm;
                 self.input(at, Input::Lost(vm));
             }
-            Event::AtUpstream { upstream, job } => self.at_upstream(upstream, &job),
+            Event::AtUpstream { upstream, job } => self.handle_at_upstream(upstream, &job),
             Event::Finish { upstream, run } => self.finish(upstream, run),
-            Event::Stop { upstream, vm, ticket } => self.stop(upstream, vm, ticket),
-            Event::Done { vm, life, ticket, result, held } => {
-                if self.held_back(vm, life) {
-                    let event = Event::Done { vm, life, ticket, result, held };
-                    return self.vms[vm].paused.push(event);
+            Event::Cancel { upstream, vm, ticket } => self.cancel(upstream, vm, ticket),
+            Event::Done { vm, generation, ticket, result, held } => {
+                if self.is_deferred(vm, generation) {
+                    let event = Event::Done { vm, generation, ticket, result, held };
+                    return self.vms[vm].deferred.push(event);
                 }
-                if self.vms[vm].up && self.vms[vm].life == life {
+                if self.vms[vm].is_up && self.vms[vm].generation == generation {
                     self.input(vm, Input::Done { ticket, result, held });
                 }
             }
-            Event::Tick(vm, life) => {
-                if self.vms[vm].up && self.vms[vm].life == life {
-                    self.at(self.now + TICK, Event::Tick(vm, life));
+            Event::Tick(vm, generation) => {
+                if self.vms[vm].is_up && self.vms[vm].generation == generation {
+                    self.schedule(self.now + TICK_INTERVAL_MS, Event::Tick(vm, generation));
                     if !self.vms[vm].is_paused {
                         self.input(vm, Input::Tick);
                     }
@@ -352,33 +384,34 @@
             }
             Event::Fault(index) => {
                 let fault = self.setup.faults[index].1.clone();
-                self.fault(&fault);
+                self.inject(&fault);
             }
-            Event::Turn => self.turn(),
-            Event::Directory => self.spread_directory(),
+            Event::MoveStragglers => self.move_stragglers(),
+            Event::Directory => self.broadcast_directory(),
             Event::Resume(vm) => self.resume(vm),
-            Event::Rejoin => {
-                self.cut.clear();
-                self.spread_directory();
+            Event::HealPartition => {
+                self.partitioned.clear();
+                self.broadcast_directory();
             }
-            Event::Roll { step, new, gap } => self.roll(step, new, gap),
+            Event::RolloutStep { step, new, gap } => self.apply_rollout_step(step, new, gap),
             Event::Restart(vm) => self.restart(vm),
-            Event::Mend => self.upstreams.iter_mut().for_each(|u| u.broken = false),
+            Event::RepairUpstreams => self.upstreams.iter_mut().for_each(|u| u.broken = false),
         }
     }
 
-    fn held_back(&self, vm: usize, life: u32) -> bool {
-        self.vms[vm].is_paused && self.vms[vm].life == life
+    fn is_deferred(&self, vm: usize, generation: u32) -> bool {
+        self.vms[vm].is_paused && self.vms[vm].generation == generation
     }
 
-    pub(crate) fn is_cut(&self, a: Place, b: Place) -> bool {
-        self.cut.contains(&(a.domain, b.domain))
+    pub(crate) fn is_partitioned(&self, a: Place, b: Place) -> bool {
+        self.partitioned.contains(&(a.domain, b.domain))
     }
 
     fn arrive(&mut self, service: Service) {
         self.schedule_arrival(service);
-        let up: Vec<usize> = (0..self.vms.len()).filter(|i| self.vms[*i].takes_callers()).collect();
-        let vm = up[self.arrivals.random_range(0..up.len())];
+        let is_up: Vec<usize> =
+            (0..self.vms.len()).filter(|i| self.vms[*i].accepts_callers()).collect();
+        let vm = is_up[self.arrivals.random_range(0..is_up.len())];
         let token = self.next_token;
         self.next_token += 1;
         let measured =
@@ -386,8 +419,8 @@
         if measured {
             self.collector.queries += 1;
         }
-        let waiting = Waiting { service, at: self.now, body: token, measured };
-        self.waiting.insert((vm, token), waiting);
+        let pending = PendingQuery { service, at: self.now, body: token, measured };
+        self.pending.insert((vm, token), pending);
         let body = Bytes::copy_from_slice(&token.to_le_bytes());
         self.input(vm, Input::Submit { token, service, within: None, body });
     }
@@ -402,34 +435,38 @@
 
     fn output(&mut self, vm: usize, output: Output) {
         match output {
-            Output::Tell(to, message) => self.tell(vm, to, message),
+            Output::Tell(to, message) => self.send_message(vm, to, message),
             Output::Send { ticket, upstream, leaf } => {
-                if self.waiting.get(&self.owner_of_query(&leaf)).is_some_and(|w| w.measured) {
+                if self.pending.get(&self.owner_of_query(&leaf)).is_some_and(|w| w.measured) {
                     self.collector.sent += 1;
                     self.sent_measured.insert(leaf.key.query);
                 }
                 let index = upstream.0 as usize;
-                let way = self.way_to_upstream(vm, index);
-                let job = Job { vm, life: self.vms[vm].life, ticket, leaf };
-                let cut = self.is_cut(self.vms[vm].place, self.upstreams[index].node.place);
-                if cut {
-                    let life = self.vms[vm].life;
+                let delay = self.delay_to_upstream(vm, index);
+                let job = Job { vm, generation: self.vms[vm].generation, ticket, leaf };
+                let partitioned =
+                    self.is_partitioned(self.vms[vm].place, self.upstreams[index].node.place);
+                if partitioned {
+                    let generation = self.vms[vm].generation;
                     let result = Err(Failure::Connect);
-                    let event = Event::Done { vm, life, ticket, result, held: None };
-                    return self.after(RESET.as_f64(), event);
+                    let event = Event::Done { vm, generation, ticket, result, held: None };
+                    return self.schedule_after(RESET_DELAY_MS.as_f64(), event);
                 }
-                self.after(way, Event::AtUpstream { upstream: index, job: Box::new(job) });
+                self.schedule_after(
+                    delay,
+                    Event::AtUpstream { upstream: index, job: Box::new(job) },
+                );
             }
             Output::Abort { ticket, upstream } => {
                 let upstream = upstream.0 as usize;
-                let way = self.way_to_upstream(vm, upstream);
-                self.after(way, Event::Stop { upstream, vm, ticket });
+                let delay = self.delay_to_upstream(vm, upstream);
+                self.schedule_after(delay, Event::Cancel { upstream, vm, ticket });
             }
-            Output::Answer(token, answer) => self.answered(vm, token, &answer),
+            Output::Answer(token, answer) => self.record_answer(vm, token, &answer),
             Output::Refuse(token, _) => {
-                if let Some(waiting) = self.waiting.remove(&(vm, token)).filter(|w| w.measured) {
+                if let Some(pending) = self.pending.remove(&(vm, token)).filter(|w| w.measured) {
                     self.collector.refused += 1;
-                    let after = self.now - waiting.at;
+                    let after = self.now - pending.at;
                     self.collector.refused_after = self.collector.refused_after.max(after);
                 }
             }
@@ -441,7 +478,7 @@
         }
     }
 
-    /// The token of the query that a leaf request belongs to.
+    /// The VM that took in the query of a leaf request, and the query's token.
     fn owner_of_query(&self, leaf: &Leaf) -> (usize, u64) {
         let mut token = [0; 8];
         token.copy_from_slice(&leaf.body[..8]);
@@ -449,17 +486,20 @@
         (vm, u64::from_le_bytes(token))
     }
 
-    pub(crate) fn way_to_upstream(&self, vm: usize, upstream: usize) -> f64 {
+    pub(crate) fn delay_to_upstream(&self, vm: usize, upstream: usize) -> f64 {
         self.distance.between(self.vms[vm].place, self.upstreams[upstream].node.place)
     }
 
-    fn tell(&mut self, from: usize, to: Vm, message: Message) {
+    fn send_message(&mut self, from: usize, to: Vm, message: Message) {
         let Some(to) = self.vms.iter().position(|v| v.vm == to) else { return };
-        let way = self.distance.between(self.vms[from].place, self.vms[to].place);
-        if !self.vms[to].up {
-            return self.after(RESET.as_f64(), Event::Lost { at: from, vm: to });
+        let delay = self.distance.between(self.vms[from].place, self.vms[to].place);
+        if !self.vms[to].is_up {
+            return self.schedule_after(
+                RESET_DELAY_MS.as_f64(),
+                Event::ConnectionLost { at: from, vm: to },
+            );
         }
-        let life = self.vms[to].life;
-        self.after(way, Event::Letter { to, life, from, message });
+        let generation = self.vms[to].generation;
+        self.schedule_after(delay, Event::PeerMessage { to, generation, from, message });
     }
 }
--- a/crates/tgw-bench/src/slopes.rs
+++ b/crates/tgw-bench/src/slopes.rs
@@ -1,5 +1,5 @@
-//! What one unit of state or work costs, measured on the real code, from which `docs/CAPACITY.md` is
-//! worked out.
+//! Costs of one unit of state or work, measured on the production code; `docs/CAPACITY.md` is
+//! derived from them.
 
 use crate::{Policy, Setup, forward, members, run};
 use serde::Serialize;
@@ -26,7 +26,7 @@
 
 /// One measured cost.
 #[derive(Clone, Debug, Serialize)]
-pub struct Slope {
+pub struct Cost {
     /// What was measured.
     pub what: &'static str,
     /// The unit of the values.
@@ -35,25 +35,25 @@
     pub values: Vec<(String, f64)>,
 }
 
-/// Measures everything; takes about a minute.
-pub fn measure() -> Vec<Slope> {
-    let mut slopes = membership();
-    slopes.push(core());
-    slopes.extend(ownership());
-    slopes.extend(forward::slopes());
-    slopes.extend(frames());
-    slopes.extend(documents());
-    slopes
+/// Measures all costs; takes about a minute.
+pub fn measure() -> Vec<Cost> {
+    let mut costs = membership();
+    costs.push(core());
+    costs.extend(ownership());
+    costs.extend(forward::costs());
+    costs.extend(frames());
+    costs.extend(documents());
+    costs
 }
 
-/// The sizes at which membership is measured: failure domains and VMs of each.
+/// Sizes at which membership is measured: failure domains, and VMs per domain.
 const SIZES: [(usize, usize); 7] = [(1, 7), (1, 50), (1, 150), (1, 312), (6, 7), (17, 7), (17, 20)];
-const SETTLE: Millis = Millis::new(60_000);
-const TIME: Millis = Millis::new(40_000);
+const SETTLE_MS: Millis = Millis::new(60_000);
+const MEASURED_MS: Millis = Millis::new(40_000);
 
-fn membership() -> Vec<Slope> {
-    let costs = members::slopes(&SIZES, SETTLE, TIME);
-    let of = |what, unit, value: fn(&(members::Cost, members::Cost)) -> f64| Slope {
+fn membership() -> Vec<Cost> {
+    let costs = members::costs(&SIZES, SETTLE_MS, MEASURED_MS);
+    let of = |what, unit, value: fn(&(members::Cost, members::Cost)) -> f64| Cost {
         what,
         unit,
         values: costs
@@ -72,19 +72,19 @@
     ]
 }
 
-/// Processor time of all cores of a fleet for a leaf request, the upstreams' models included.
-fn core() -> Slope {
+/// Processor time of a whole fleet per leaf request, including the model of the upstreams.
+fn core() -> Cost {
     let value = |(user, load): (User, f64)| {
         let setup = Setup {
             user,
             vms: 6,
             spread: Spread::Together,
-            hops: true,
+            network_delays: true,
             seed: 1,
             load,
             warm_up: Millis::new(500),
             measured: Millis::new(4000),
-            places: 100_000,
+            max_running: 100_000,
             table: user.table(),
             faults: Vec::new(),
             record: None,
@@ -98,7 +98,7 @@
     };
     let sizes = [(User::Coimbra, 0.3), (User::Coimbra, 0.5), (User::Aspen, 0.5)];
     let values = sizes.into_iter().map(value).collect();
-    Slope { what: "decision core, entry and owner together", unit: "µs a leaf request", values }
+    Cost { what: "decision core, entry and owner together", unit: "µs a leaf request", values }
 }
 
 fn mean_shards(entry: &Entry) -> f64 {
@@ -120,8 +120,8 @@
     Directory { members: (0..vms).map(member).collect(), ..Directory::default() }
 }
 
-/// Time to find all owners anew after a change of membership, by groups of the domain and its VMs.
-fn ownership() -> Vec<Slope> {
+/// Time to recompute all owners after a membership change, by groups and VMs of the domain.
+fn ownership() -> Vec<Cost> {
     let place = Place { region: Region(0), domain: Domain(0) };
     let value = |(groups, vms): (u16, usize)| {
         let map = Map::new(Arc::new(directory(vms)));
@@ -143,15 +143,15 @@
         found.iter().map(|(size, values)| (size.clone(), pick(values))).collect()
     };
     vec![
-        Slope { what: "ownership, all groups anew", unit: "ms", values: of(|v| v.0) },
-        Slope { what: "ownership, most groups at one VM", unit: "groups", values: of(|v| v.1) },
+        Cost { what: "ownership, all groups anew", unit: "ms", values: of(|v| v.0) },
+        Cost { what: "ownership, most groups at one VM", unit: "groups", values: of(|v| v.1) },
     ]
 }
 
-fn frames() -> Vec<Slope> {
+fn frames() -> Vec<Cost> {
     let query = Query { incarnation: 1 << 40, number: 1 << 20 };
     let key = Key { from: Vm::named("vm"), query, shard: Shard(50), attempt: 0 };
-    let ask = Message::Ask(Ask {
+    let request = Message::Ask(Ask {
         group: Group { service: Service(100), instance: 50, domain: Domain(10) },
         stand_in: false,
         key,
@@ -162,9 +162,9 @@
         traced: false,
         work: Work::Search,
     });
-    let mut told = Told::bare(key, Outcome::Items(vec![b'x'; 300].into()));
-    told.stock = Some([(Snapshot { version: 1000, layout: Layout(3) }, 3)].into_iter().collect());
-    let outcome = Message::Outcome(told);
+    let mut reply = Told::bare(key, Outcome::Items(vec![b'x'; 300].into()));
+    reply.stock = Some([(Snapshot { version: 1000, layout: Layout(3) }, 3)].into_iter().collect());
+    let outcome = Message::Outcome(reply);
     let keys = Keys::new([1; 32], None);
     let size =
         |messages: &[Message]| tgw_wire::seal(&keys, &messages).map_or(0, |f| f.len()) as f64;
@@ -177,23 +177,23 @@
         }
         start.elapsed().as_secs_f64() * 1e6 / f64::from(ROUNDS)
     };
-    let (asks, outcomes) = (vec![ask; 4], vec![outcome; 4]);
+    let (requests, outcomes) = (vec![request; 4], vec![outcome; 4]);
     let values = |of: &dyn Fn(&[Message]) -> f64| {
         vec![
-            ("one request of 100 bytes".to_owned(), of(&asks[..1])),
-            ("four of them in one frame".to_owned(), of(&asks)),
+            ("one request of 100 bytes".to_owned(), of(&requests[..1])),
+            ("four of them in one frame".to_owned(), of(&requests)),
             ("one outcome of 300 bytes".to_owned(), of(&outcomes[..1])),
             ("four of them in one frame".to_owned(), of(&outcomes)),
         ]
     };
     vec![
-        Slope { what: "frames between VMs", unit: "bytes", values: values(&size) },
-        Slope { what: "frames, written and read", unit: "µs", values: values(&time) },
+        Cost { what: "frames between VMs", unit: "bytes", values: values(&size) },
+        Cost { what: "frames, written and read", unit: "µs", values: values(&time) },
     ]
 }
 
 /// Sizes of the table, its deltas and the catalog.
-fn documents() -> Vec<Slope> {
+fn documents() -> Vec<Cost> {
     let keys = Keys::new([1; 32], None);
     let table = |services: usize| {
         let mut document = tgw_table::Document::default();
@@ -228,22 +228,22 @@
         (format!("{} upstreams in a service", 330), most.unwrap_or(0) as f64)
     };
     vec![
-        Slope {
+        Cost {
             what: "table, object in the platform",
             unit: "bytes",
             values: [10, 100, 212, 2000].into_iter().map(whole).collect(),
         },
-        Slope {
+        Cost {
             what: "table, delta of one row between VMs",
             unit: "bytes",
             values: [10, 212, 2000].into_iter().map(delta).collect(),
         },
-        Slope {
+        Cost {
             what: "catalog between VMs",
             unit: "bytes",
             values: [10, 50, 212].into_iter().map(catalog).collect(),
         },
-        Slope {
+        Cost {
             what: "catalog, one service's object in the platform",
             unit: "bytes",
             values: vec![part(1)],
@@ -255,7 +255,7 @@
     catalog(services).since(0)
 }
 
-/// Services of 110 shards with three replicas each, one shard an instance.
+/// A catalog of services of 110 shards with three replicas each, one shard per instance.
 fn catalog(services: u16) -> Catalog {
     const SHARDS: u16 = 110;
     let mut catalog = Catalog { version: 1, ..Catalog::default() };
@@ -291,10 +291,10 @@
     catalog
 }
 
-/// The slopes as a table for people.
-pub fn text(slopes: &[Slope]) -> String {
+/// Formats the costs as a table.
+pub fn text(costs: &[Cost]) -> String {
     let mut out = String::new();
-    for slope in slopes {
+    for slope in costs {
         out += &format!("{} ({})\n", slope.what, slope.unit);
         for (size, value) in &slope.values {
             out += &format!("  {size:<28} {value:>12.2}\n");
--- a/crates/tgw-bench/src/starts/mod.rs
+++ b/crates/tgw-bench/src/starts/mod.rs
@@ -1,13 +1,13 @@
-//! Starts of many VMs: who reads the platform's store, who is told by whom, and how long that takes, under a
-//! virtual clock.
+//! Simultaneous starts of many VMs under a virtual clock: which VMs read the platform's store,
+//! which copy the state from a peer, and how long that takes.
 
-/// What came of a start.
+/// The figures of a start.
 mod outcome;
-/// What is played.
+/// Setups of starts.
 mod setup;
-/// The VMs, the store and the ways between them.
-mod world;
+/// The simulation of VMs, store and network.
+mod simulation;
 
 pub use outcome::{Outcome, text};
 pub use setup::{Setup, setups};
-pub use world::play;
+pub use simulation::play;
--- a/crates/tgw-bench/src/starts/outcome.rs
+++ b/crates/tgw-bench/src/starts/outcome.rs
@@ -1,25 +1,25 @@
 use serde::Serialize;
 
-/// What came of it.
+/// Figures of a start.
 #[derive(Clone, Debug, Serialize)]
 pub struct Outcome {
-    /// VMs in all.
+    /// VMs in total.
     pub vms: usize,
-    /// Calls of the store, reading a copy counted as a tenth.
+    /// Calls of the store; reading a copy counts as a tenth.
     pub calls: f64,
     /// VMs that read the store.
     pub readers: usize,
-    /// Time in ms from a VM's start until it can serve: the median, 99 in 100, and the last.
+    /// Time in ms from a VM's start until it can serve: median, 99th percentile and maximum.
     pub serves_ms: [f64; 3],
-    /// The same until it holds the state and claims it.
+    /// The same until it holds the current state and announces its version.
     pub holds_ms: [f64; 3],
-    /// Bytes a VM sends, and the one that sends most.
+    /// Bytes that a VM sends: mean and maximum.
     pub bytes: [f64; 2],
-    /// VMs that live and never held the state.
+    /// Live VMs that never obtained the state.
     pub without: usize,
 }
 
-/// Starts of all VMs at several sizes, as a table.
+/// Formats the outcomes as a table.
 pub fn text(outcomes: &[(String, Outcome)]) -> String {
     let mut text = format!(
         "{:<34} {:>6} {:>8} {:>8} {:>20} {:>20} {:>16}\n",
--- a/crates/tgw-bench/src/starts/setup.rs
+++ b/crates/tgw-bench/src/starts/setup.rs
@@ -1,32 +1,32 @@
 use tgw_clock::Millis;
 
-/// What is played.
+/// Setup of one start.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// VMs in all, over six failure domains in three regions.
+    /// VMs in total, over three regions.
     pub vms: usize,
     /// The whole fleet starts for the first time.
-    pub first: bool,
-    /// Seeds that are down for good, of three.
+    pub first_start: bool,
+    /// Seeds that stay down, of three.
     pub seeds_down: usize,
-    /// The store answers from then on; from the start on by default.
+    /// Time from which the store answers; by default it always does.
     pub store_from: Millis,
-    /// The part of the VMs that the store turns away.
+    /// Share of the VMs that the store refuses.
     pub refused: f64,
-    /// The chance that a packet is lost.
+    /// Probability that a packet is lost.
     pub loss: f64,
-    /// The seeds die so long after their start, before they have told all.
+    /// The seeds die this long after their start, before all VMs have copied from them.
     pub seeds_die: Option<Millis>,
-    /// Seed of what is drawn.
+    /// Seed of the random numbers.
     pub seed: u64,
 }
 
 impl Setup {
-    /// So many VMs that lose power together, with nothing else wrong.
-    pub fn of(vms: usize, seed: u64) -> Self {
+    /// A simultaneous start after a power loss, without other faults.
+    pub fn healthy(vms: usize, seed: u64) -> Self {
         Self {
             vms,
-            first: false,
+            first_start: false,
             seeds_down: 0,
             store_from: Millis::ZERO,
             refused: 0.0,
@@ -37,15 +37,15 @@
     }
 }
 
-/// The starts that are printed: sizes, and what may be wrong beside.
+/// The named setups of a report, with and without faults.
 pub fn setups(vms: usize, seed: u64) -> Vec<(String, Setup)> {
     let of = |change: fn(&mut Setup)| {
-        let mut setup = Setup::of(vms, seed);
+        let mut setup = Setup::healthy(vms, seed);
         change(&mut setup);
         setup
     };
     vec![
-        ("for the first time".into(), of(|s| s.first = true)),
+        ("for the first time".into(), of(|s| s.first_start = true)),
         ("all lose power".into(), of(|_| ())),
         ("two seeds down".into(), of(|s| s.seeds_down = 2)),
         ("all seeds down".into(), of(|s| s.seeds_down = 3)),
--- a/crates/tgw-bench/src/warmup/mod.rs
+++ b/crates/tgw-bench/src/warmup/mod.rs
@@ -1,12 +1,12 @@
-//! A cold upstream that all VMs want to send to: how many requests it gets in any second, under a virtual clock, with the
-//! decisions and the membership of real VMs.
+//! A cold upstream that all VMs want to send to: how many requests reach it in any second, with the
+//! decision and membership code of real VMs under a virtual clock.
 
-/// What is played, and what came of it.
+/// Setups and outcomes of runs.
 mod setup;
-/// One VM.
+/// The simulation of VMs, upstream and network.
+mod simulation;
+/// State of one VM.
 mod vm;
-/// The VMs, the upstream and the ways between them.
-mod world;
 
-pub use setup::{Outcome, Setup, Trouble, What, setups, text};
-pub use world::play;
+pub use setup::{Fault, FaultKind, Outcome, Setup, setups, text};
+pub use simulation::play;
--- a/crates/tgw-bench/src/warmup/setup.rs
+++ b/crates/tgw-bench/src/warmup/setup.rs
@@ -2,111 +2,111 @@
 use tgw_clock::Millis;
 use tgw_forward::warmup::Excess;
 
-/// What goes wrong with some of the VMs.
+/// Kind of a fault.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
-pub enum What {
-    /// They reach no other VM, each alone; callers and upstreams reach them.
-    Alone,
-    /// They reach one another only.
-    Island,
-    /// They stand still.
-    Frozen,
-    /// Their processes end, and start again at the end.
+pub enum FaultKind {
+    /// Each of these VMs is partitioned from every other VM; callers and upstreams still reach it.
+    Isolated,
+    /// These VMs are partitioned from the others, but reach one another.
+    Partitioned,
+    /// These VMs are paused.
+    Paused,
+    /// The processes of these VMs end, and start again when the fault ends.
     Restarted,
 }
 
-/// One trouble.
+/// One fault.
 #[derive(Copy, Clone, Debug)]
-pub struct Trouble {
+pub struct Fault {
     /// When it begins.
     pub at: Millis,
     /// When it ends.
     pub until: Millis,
-    /// What it is.
-    pub what: What,
-    /// The part of the VMs that it befalls; those that hold rights first.
+    /// Its kind.
+    pub kind: FaultKind,
+    /// Share of the VMs that it affects.
     pub share: f64,
 }
 
-/// What is played.
+/// Setup of one run.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// VMs in all, of three regions and of two domains each beyond nine.
+    /// VMs in total, in three regions; fleets of more than nine have two domains per region.
     pub vms: usize,
-    /// Requests a second that the upstream bears while it is cold.
+    /// Requests a second that the upstream accepts while it is cold.
     pub rate: f64,
-    /// What operators allow beyond that.
-    pub excess: Excess,
-    /// VMs that hold the right to send at a time.
+    /// Headroom allowed beyond that rate.
+    pub headroom: Excess,
+    /// VMs that hold a lease to send at the same time.
     pub holders: usize,
-    /// Requests for it, as many times what it bears.
+    /// Requested rate, as a multiple of `rate`.
     pub demand: f64,
-    /// What goes wrong.
-    pub troubles: Vec<Trouble>,
-    /// Seed of what is drawn.
+    /// The faults.
+    pub faults: Vec<Fault>,
+    /// Seed of the random numbers.
     pub seed: u64,
 }
 
-/// Operators' allowance on the users' site.
-const EXCESS: Excess = Excess { factor: 1.5, constant: 5.0 };
-/// When troubles begin and end, in ms.
-const FROM: Millis = Millis::new(6_000);
-const TO: Millis = Millis::new(11_000);
+/// Headroom beyond an upstream's cold rate: a factor and a constant.
+const DEFAULT_HEADROOM: Excess = Excess { factor: 1.5, constant: 5.0 };
+/// When faults begin and end.
+const FAULT_START_MS: Millis = Millis::new(6_000);
+const FAULT_END_MS: Millis = Millis::new(11_000);
 
 impl Setup {
-    /// So many VMs with nothing wrong.
-    pub fn of(vms: usize, rate: f64, seed: u64) -> Self {
-        let (excess, troubles) = (EXCESS, Vec::new());
-        Self { vms, rate, excess, holders: 1, demand: 20.0, troubles, seed }
+    /// A setup without faults.
+    pub fn healthy(vms: usize, rate: f64, seed: u64) -> Self {
+        let (headroom, faults) = (DEFAULT_HEADROOM, Vec::new());
+        Self { vms, rate, headroom, holders: 1, demand: 20.0, faults, seed }
     }
 
-    /// The same beside a trouble.
+    /// Adds a fault.
     #[must_use]
-    pub fn beside(mut self, what: What, share: f64) -> Self {
-        self.troubles.push(Trouble { at: FROM, until: TO, what, share });
+    pub fn with_fault(mut self, kind: FaultKind, share: f64) -> Self {
+        self.faults.push(Fault { at: FAULT_START_MS, until: FAULT_END_MS, kind, share });
         self
     }
 
-    /// Requests that the upstream may get in any second.
+    /// Requests that the upstream may receive in any second.
     pub fn limit(&self) -> f64 {
-        self.rate * self.excess.factor + self.excess.constant
+        self.rate * self.headroom.factor + self.headroom.constant
     }
 }
 
-/// What is printed.
+/// The named setups of a report, with and without faults.
 pub fn setups(vms: usize, rate: f64, holders: usize, seed: u64) -> Vec<(String, Setup)> {
-    let of = || Setup { holders, ..Setup::of(vms, rate, seed) };
+    let of = || Setup { holders, ..Setup::healthy(vms, rate, seed) };
     let named = |name: &str, setup: Setup| (name.to_owned(), setup);
     vec![
         named("nothing else", of()),
-        named("a third alone", of().beside(What::Alone, 0.34)),
-        named("all alone", of().beside(What::Alone, 1.0)),
-        named("a third on an island", of().beside(What::Island, 0.34)),
-        named("half on an island", of().beside(What::Island, 0.5)),
-        named("a third frozen", of().beside(What::Frozen, 0.34)),
-        named("a third restarted", of().beside(What::Restarted, 0.34)),
-        named("all restarted", of().beside(What::Restarted, 1.0)),
+        named("a third alone", of().with_fault(FaultKind::Isolated, 0.34)),
+        named("all alone", of().with_fault(FaultKind::Isolated, 1.0)),
+        named("a third on an island", of().with_fault(FaultKind::Partitioned, 0.34)),
+        named("half on an island", of().with_fault(FaultKind::Partitioned, 0.5)),
+        named("a third frozen", of().with_fault(FaultKind::Paused, 0.34)),
+        named("a third restarted", of().with_fault(FaultKind::Restarted, 0.34)),
+        named("all restarted", of().with_fault(FaultKind::Restarted, 1.0)),
         named(
             "a third frozen, a third alone",
-            of().beside(What::Frozen, 0.34).beside(What::Alone, 0.34),
+            of().with_fault(FaultKind::Paused, 0.34).with_fault(FaultKind::Isolated, 0.34),
         ),
     ]
 }
 
-/// What came of it.
+/// Figures of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Outcome {
     /// Requests in the worst second.
     pub worst: usize,
-    /// Requests that the upstream may get in a second.
+    /// Requests that the upstream may receive in a second.
     pub limit: f64,
-    /// The part of the stated rate that was used before anything went wrong.
+    /// Share of the declared rate that was used before any fault.
     pub used: f64,
-    /// The same while something went wrong, and after.
+    /// The same during and after the faults.
     pub used_beside: f64,
 }
 
-/// Runs at several sizes, as a table.
+/// Formats the outcomes as a table.
 pub fn text(outcomes: &[(String, Setup, Outcome)]) -> String {
     let mut text = format!(
         "{:<32} {:>4} {:>5} {:>7} {:>14} {:>5} {:>7}\n",
--- a/crates/tgw-bench/src/warmup/vm.rs
+++ b/crates/tgw-bench/src/warmup/vm.rs
@@ -22,22 +22,22 @@
 
 pub(super) const SERVICE: &str = "s";
 pub(super) const UPSTREAM: &str = "u";
-/// Time until a VM counts on the VMs that it knows, as in the gateway.
-const SETTLE: Millis = Millis::new(1_500);
+/// Time until a VM relies on its list of VMs, as in the gateway.
+const SETTLE_MS: Millis = Millis::new(1_500);
 const REGIONS: usize = 3;
 const CONNECTIONS: u32 = 73;
-const FOREVER: Millis = Millis::new(3_600_000);
+const WARMUP_MS: Millis = Millis::new(3_600_000);
 
-/// One VM: the decisions of a real one.
+/// State of one VM: its decision and membership code.
 pub(super) struct Vm {
     pub(super) member: Member,
     pub(super) core: Core,
     pub(super) region: usize,
     began: Millis,
     number: usize,
-    pub(super) frozen_until: Millis,
+    pub(super) paused_until: Millis,
     /// Its process does not run.
-    pub(super) ended: bool,
+    pub(super) is_down: bool,
 }
 
 pub(super) fn address(number: usize) -> SocketAddr {
@@ -74,8 +74,8 @@
         let place = fleet::Place { domain: domain(at as u8), regions: regions.collect() };
         let policy = Policy { warm_holders: setup.holders as f64, ..Policy::default() };
         let mut core = Core::new(place, Budget::default(), policy);
-        core.set_excess(setup.excess);
-        let warmup = Warmup { span: FOREVER, rate: setup.rate };
+        core.set_excess(setup.headroom);
+        let warmup = Warmup { span: WARMUP_MS, rate: setup.rate };
         let mut config = Config::default();
         config.services.insert(SERVICE.into(), Service { connections: CONNECTIONS, warmup });
         core.configure(&config);
@@ -83,12 +83,20 @@
         let near = setup.vms.div_ceil(REGIONS) as u32;
         core.set_vms(Vms { all: setup.vms as u32, near });
         let member = Member::new(options);
-        Self { member, core, region, began: now, number, frozen_until: Millis::ZERO, ended: false }
+        Self {
+            member,
+            core,
+            region,
+            began: now,
+            number,
+            paused_until: Millis::ZERO,
+            is_down: false,
+        }
     }
 
-    /// Takes over the VMs that it knows, once it counts on them.
-    pub(super) fn settle(&mut self, now: Millis) {
-        if now - self.began < SETTLE {
+    /// Updates the candidates for leases from membership, once the VM relies on it.
+    pub(super) fn update_candidates(&mut self, now: Millis) {
+        if now - self.began < SETTLE_MS {
             return;
         }
         let directory = self.member.directory();
@@ -96,8 +104,8 @@
         for (vm, member) in &directory.members {
             if member.state != State::Leaving {
                 let dead_until = self.member.dead_since(*vm).map(|at| at + REMEMBERED);
-                let seat = Seat { vm: vm.0, addr: member.addr, dead_until };
-                domains.entry(domain(member.place.domain.0).into()).or_default().push(seat);
+                let candidate = Seat { vm: vm.0, addr: member.addr, dead_until };
+                domains.entry(domain(member.place.domain.0).into()).or_default().push(candidate);
             }
         }
         let own = Id::named(&format!("vm-{}", self.number)).0;
@@ -114,6 +122,6 @@
         domain: domain(0).into(),
         slots: 4,
         draining: false,
-        warmup: FOREVER,
+        warmup: WARMUP_MS,
     }
 }
--- a/crates/tgw-bench/tests/overload.rs
+++ b/crates/tgw-bench/tests/overload.rs
@@ -1,4 +1,5 @@
-//! Forwarding under load at its worst, replayed by seed: what the decisions are worth there.
+//! Forwarding under overload and faults, reproducible by seed: how much the tier's decisions
+//! improve the payoff.
 
 #![allow(clippy::expect_used, clippy::unwrap_used, clippy::panic)] // A test fails by panic.
 
@@ -30,28 +31,29 @@
     assert!(crude < tier && tier <= oracle + 0.01, "{report}");
 }
 
-// 17 of 30 upstreams turn 0.6 of their requests away. Queries ended as failures one part short of a
-// success, after two declined sends or at their aim, while others spent the budget on their last part.
+// 17 of 30 upstreams shed 0.6 of their requests. Queries failed with one part too few, after two
+// declined sends or at their target latency, while other queries spent the budget on their last
+// part.
 #[test]
-fn queries_a_part_short_of_a_success_are_not_given_up_while_upstreams_shed() {
+fn queries_one_part_short_are_not_failed_early_while_upstreams_shed() {
     let ours = tier(Scenario::ShedAcross, &[]).failed;
     let before = tier(Scenario::ShedAcross, &["late=no", "declined_free=no", "judged=no"]).failed;
     assert!(ours < before * 0.9, "{ours} of all fail, {before} without");
 }
 
-// On a calm day nearly all that is sent elsewhere are hedges of sends that were about to end: bytes between
-// regions for answers that would have been in time.
+// Under normal load nearly all sends to other regions are hedges of sends that were about to end:
+// traffic between regions for answers that would have been in time.
 #[test]
-fn hedges_that_can_wait_are_not_sent_on_a_calm_day() {
+fn hedges_that_can_wait_are_not_sent_under_normal_load() {
     let (ours, before) = (tier(Scenario::Pauses, &[]), tier(Scenario::Pauses, &["hedge_wait=0"]));
     assert!(ours.extra < before.extra * 0.8, "{} and {}", ours.extra, before.extra);
     assert!(ours.worth > before.worth - 0.005, "{} and {}", ours.worth, before.worth);
 }
 
-// 0.57 of the upstreams shed 0.6. The operators' budget would make up for it, but each of 100 VMs has a hundredth of
-// it: queries failed for want of one more send at VMs that had used up theirs.
+// 0.57 of the upstreams shed 0.6. The extra-send budget suffices in total, but each of 100 VMs has
+// a hundredth of it: queries failed for lack of one more send at VMs whose share was used up.
 #[test]
-fn budgets_cut_in_many_parts_fail_fewer_queries_where_vms_lend() {
+fn budgets_split_over_many_vms_fail_fewer_queries_when_vms_lend() {
     let played = |set: &[&str]| {
         let set = set.iter().map(ToString::to_string).collect();
         let options = Options { seeds: 1, vms: Some(100), set };
@@ -61,12 +63,13 @@
     assert!(ours < before * 0.8, "{ours} of all fail, {before} without");
 }
 
-// A caller sends a search under which each upstream ends that begins to run it, and sends it again each 0.7 s, to
-// any VM. Each attempt was judged alone: parts that broke were retried on the next upstream of their shard until
-// none was left, and nothing of that was known when the search came again. In 18 s 150 to 162 upstreams ended, and
-// 0.99 of the searches of all other callers were lost. A shard's first send cannot be spared; after these a search
-// may end two more upstreams, each alone. From when all VMs may know it none does, and all others earn 0.95 of
-// what they earn without it.
+// A caller repeats a search that ends each upstream that begins to run it, every 0.7 s at any VM.
+// When each attempt was judged alone, broken parts were retried on the next upstream of their shard
+// until none was left, and no VM recognised the search at its next attempt: in 18 s 150 to 162
+// upstreams ended, and 0.99 of the searches of all other callers were lost. The first send to each
+// shard cannot be avoided; after these the search may end two more upstreams, one at a time. Once
+// all VMs must know it, it ends none, and all other searches earn at least 0.95 of their payoff
+// without it.
 #[test_case(6, 3)]
 #[test_case(76, 1)]
 #[test_case(300, 1)]
@@ -80,9 +83,10 @@
     assert!(tier.worth >= 0.95 * without.of(Choice::Tier).unwrap().worth, "{beside}{without}");
 }
 
-// The same from another host each time, as a team has many. Each host was taken for another caller, of whose search
-// nothing was known but that it was to be sent with care, and ended one upstream more for as long as new ones came. The
-// second host's attempt may still do so: then it is held back for all.
+// The same from another of the caller's hosts each time. When each host was taken for another
+// caller, its search was merely sent with care instead of being rejected, and each new host ended
+// one more upstream. Now the second host's attempt may still end one; then the search is
+// quarantined for all.
 #[test_case(6, 3)]
 #[test_case(76, 1)]
 fn a_query_of_death_of_many_hosts_ends_one_upstream_more(vms: usize, seeds: u64) {
