--- a/crates/tgw-ring/src/lib.rs
+++ b/crates/tgw-ring/src/lib.rs
@@ -4,4 +4,4 @@
 /// The sender and the receiver of a bounded queue.
 mod ring;
 
-pub use ring::{Receiver, Sender, pair};
+pub use ring::{Receiver, Sender, channel};
--- a/crates/tgw-ring/src/ring.rs
+++ b/crates/tgw-ring/src/ring.rs
@@ -9,7 +9,7 @@
     queue: ArrayQueue<T>,
     ready: Notify,
     closed: AtomicBool,
-    refused: AtomicU64,
+    rejected: AtomicU64,
 }
 
 /// The sending end; it can be cloned for any number of workers.
@@ -19,12 +19,12 @@
 pub struct Receiver<T>(Arc<Shared<T>>);
 
 /// Creates a bounded queue of `capacity` values, at least one.
-pub fn pair<T>(capacity: usize) -> (Sender<T>, Receiver<T>) {
+pub fn channel<T>(capacity: usize) -> (Sender<T>, Receiver<T>) {
     let shared = Arc::new(Shared {
         queue: ArrayQueue::new(capacity.max(1)),
         ready: Notify::new(),
         closed: AtomicBool::new(false),
-        refused: AtomicU64::new(0),
+        rejected: AtomicU64::new(0),
     });
     (Sender(shared.clone()), Receiver(shared))
 }
@@ -47,7 +47,7 @@
                 Ok(())
             }
             Err(value) => {
-                self.0.refused.fetch_add(1, Ordering::Relaxed);
+                self.0.rejected.fetch_add(1, Ordering::Relaxed);
                 Err(value)
             }
         }
@@ -64,8 +64,8 @@
     }
 
     /// The number of values rejected so far because the queue was full.
-    pub fn refused(&self) -> u64 {
-        self.0.refused.load(Ordering::Relaxed)
+    pub fn rejected_count(&self) -> u64 {
+        self.0.rejected.load(Ordering::Relaxed)
     }
 }
 
--- a/crates/tgw-serve/src/queries.rs
+++ b/crates/tgw-serve/src/queries.rs
@@ -324,7 +324,7 @@
         set(&gauges.restarts, stats.restarts);
         set(&gauges.members, self.node.directory().owners().count() as u64);
         set(&gauges.ring_core, self.depth.len() as u64);
-        set(&gauges.ring_core_refused, self.depth.refused());
+        set(&gauges.ring_core_refused, self.depth.rejected_count());
         let idle = self.draining && self.node.idle() && self.replies.is_empty();
         self.idle.send_if_modified(|old| std::mem::replace(old, idle) != idle);
     }
--- a/crates/tgw-serve/src/serve.rs
+++ b/crates/tgw-serve/src/serve.rs
@@ -25,7 +25,7 @@
 use tgw_owner::Directory;
 use tgw_peer::{Letter, Network, Open, Outgoing, Parcel, Report};
 use tgw_platform::{Http, Store};
-use tgw_ring::{Receiver, Sender, pair};
+use tgw_ring::{Receiver, Sender, channel};
 use tgw_settings::Settings;
 use tgw_topology::{
     Place, Vm,
@@ -229,10 +229,10 @@
     let vm = Vm::named(&settings.vm.name);
     let incarnation = incarnation();
     let place = Place { region: Region(settings.vm.region), domain: Domain(settings.vm.domain) };
-    let (core, work) = pair(CORE);
-    let (errands, errands_out) = pair(ERRANDS);
-    let (outgoing, outgoing_out) = pair(PEERS);
-    let (notices, notices_out) = pair(NOTICES);
+    let (core, work) = channel(CORE);
+    let (errands, errands_out) = channel(ERRANDS);
+    let (outgoing, outgoing_out) = channel(PEERS);
+    let (notices, notices_out) = channel(NOTICES);
     let (stop, stopped) = watch::channel(false);
     let (close, closed) = watch::channel(false);
     let (idle, idle_seen) = watch::channel(false);
