--- a/crates/tanagergw/src/standin.rs
+++ b/crates/tanagergw/src/standin.rs
@@ -9,7 +9,7 @@
     Platform, Upstream,
     size::{Spread, User},
 };
-use tgw_topology::{Catalog, catalog::Part};
+use tgw_topology::{Catalog, catalog::ServiceUpdate};
 use tokio::{net::TcpListener, task::LocalSet};
 
 #[derive(clap::Args)]
@@ -109,8 +109,12 @@
     platform.write("table", "main", serde_json::to_value(parse_user(user)?.table())?);
     for entry in catalog.services.values() {
         let own = catalog.upstreams.values().filter(|u| u.service == entry.id);
-        let part = Part { entry: entry.clone(), upstreams: own.cloned().collect(), changed: 0 };
-        platform.write("service", &entry.name, serde_json::to_value(&part)?);
+        let update = ServiceUpdate {
+            entry: entry.clone(),
+            upstreams: own.cloned().collect(),
+            changed_version: 0,
+        };
+        platform.write("service", &entry.name, serde_json::to_value(&update)?);
     }
     Ok(platform)
 }
@@ -130,7 +134,7 @@
         }
     };
     let chosen = catalog.upstreams.values().filter(|u| service_id.is_none_or(|id| u.service == id));
-    let make = |node: &tgw_topology::catalog::Node| {
+    let make = |node: &tgw_topology::catalog::UpstreamEntry| {
         let connect = Millis::new(sizes[usize::from(node.service.0)].connect_ms);
         Upstream::new(&catalog, node, connect, u64::from(node.id.0) + 1)
     };
--- a/crates/tgw-bench/src/leaving/world.rs
+++ b/crates/tgw-bench/src/leaving/world.rs
@@ -159,7 +159,7 @@
         // The domains of one region follow one another, as the platform numbers them.
         let place = Place { region: Region(region as u8), domain: Domain(domain as u8) };
         let options = Options {
-            vm: Id::named(&format!("vm-{number}")),
+            vm: Id::from_name(&format!("vm-{number}")),
             name: format!("vm-{number}"),
             incarnation: 1 << 16,
             place,
--- a/crates/tgw-bench/src/members.rs
+++ b/crates/tgw-bench/src/members.rs
@@ -103,7 +103,7 @@
             let domain = index / each;
             let place = Place { region: Region((domain / 2) as u8), domain: Domain(domain as u8) };
             let addr = address(index);
-            let vm = Vm::named(&format!("vm-{index}"));
+            let vm = Vm::from_name(&format!("vm-{index}"));
             let late = Vec::new();
             world.seats.push(Seat { member: None, vm, place, addr, life: 0, frozen: false, late });
         }
--- a/crates/tgw-bench/src/model.rs
+++ b/crates/tgw-bench/src/model.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use tgw_clock::Millis;
 use tgw_dispatch::Leaf;
-use tgw_topology::{Snapshot, catalog::Node};
+use tgw_topology::{Snapshot, catalog::UpstreamEntry};
 
 /// Median service time in milliseconds, and the spread of its logarithm.
 pub(crate) const MEDIAN_MS: f64 = 4.0;
@@ -30,7 +30,7 @@
 
 /// One upstream.
 pub(crate) struct Upstream {
-    pub(crate) node: Node,
+    pub(crate) node: UpstreamEntry,
     pub(crate) running: Vec<(u64, Job)>,
     pub(crate) queue: VecDeque<Job>,
     pub(crate) backlog: usize,
@@ -51,7 +51,7 @@
 }
 
 impl Upstream {
-    pub(crate) fn new(node: &Node, held: Vec<Snapshot>, backlog: usize) -> Self {
+    pub(crate) fn new(node: &UpstreamEntry, held: Vec<Snapshot>, backlog: usize) -> Self {
         Self {
             node: node.clone(),
             running: Vec::new(),
@@ -67,7 +67,7 @@
     }
 
     pub(crate) fn arrive(&mut self, job: Job, rng: &mut SmallRng) -> Taken {
-        if self.running.len() < usize::from(self.node.slots) {
+        if self.running.len() < usize::from(self.node.max_concurrency) {
             let (run, time) = self.start(job, rng);
             return Taken::Runs(run, time);
         }
@@ -110,7 +110,7 @@
 
     /// Starts a waiting request if a slot is free.
     pub(crate) fn next(&mut self, rng: &mut SmallRng) -> Option<(u64, Millis)> {
-        if self.running.len() >= usize::from(self.node.slots) {
+        if self.running.len() >= usize::from(self.node.max_concurrency) {
             return None;
         }
         let job = self.queue.pop_front()?;
--- a/crates/tgw-bench/src/serving.rs
+++ b/crates/tgw-bench/src/serving.rs
@@ -30,7 +30,7 @@
             return self.reply(index, job, result);
         }
         let over = upstream.running.len() + upstream.queue.len() + 1;
-        let slots = usize::from(upstream.node.slots);
+        let slots = usize::from(upstream.node.max_concurrency);
         if over > slots && !self.policy.direct() {
             self.collector.over_slots = self.collector.over_slots.max((over - slots) as u64);
         }
--- a/crates/tgw-bench/src/sim.rs
+++ b/crates/tgw-bench/src/sim.rs
@@ -27,7 +27,7 @@
 use tgw_standin::size;
 use tgw_topology::{
     Catalog, Place, Query, Service, Snapshot, Vm,
-    place::{Distance, Domain},
+    place::{Domain, Latency},
 };
 
 const TICK: Millis = Millis::new(1);
@@ -87,7 +87,7 @@
 pub(crate) struct Sim {
     pub(crate) setup: Setup,
     pub(crate) policy: Policy,
-    pub(crate) distance: Distance,
+    pub(crate) distance: Latency,
     pub(crate) now: Millis,
     pub(crate) heap: BinaryHeap<Reverse<(Millis, u64)>>,
     pub(crate) events: BTreeMap<u64, Event>,
@@ -121,17 +121,17 @@
         let distance = if setup.hops {
             setup.user.distance()
         } else {
-            Distance { local: 0.0, domains: 0.0, regions: 0.0 }
+            Latency { same_domain_ms: 0.0, cross_domain_ms: 0.0, cross_region_ms: 0.0 }
         };
         let truth = Truth::default();
         let backlog = if policy.direct() { DIRECT_BACKLOG } else { BACKLOG };
-        let held = |node: &tgw_topology::catalog::Node| {
+        let held = |node: &tgw_topology::catalog::UpstreamEntry| {
             catalog.services.get(&node.service).map(|s| s.snapshots.clone()).unwrap_or_default()
         };
         let upstreams = catalog
             .upstreams
             .values()
-            .map(|n| Upstream::new(n, held(n), backlog * usize::from(n.slots)))
+            .map(|n| Upstream::new(n, held(n), backlog * usize::from(n.max_concurrency)))
             .collect();
         let mut sim = Self {
             policy,
@@ -162,7 +162,7 @@
     }
 
     pub(crate) fn make_vm(&self, index: usize, life: u32) -> VmState {
-        let vm = Vm::named(&format!("vm-{index}"));
+        let vm = Vm::from_name(&format!("vm-{index}"));
         let place = size::place(index);
         let identity = Identity {
             vm,
@@ -261,11 +261,11 @@
         if self.policy == Policy::DirectShares {
             let vms = self.setup.vms as u16;
             for node in catalog.upstreams.values_mut() {
-                node.slots = (node.slots / vms).max(1);
+                node.max_concurrency = (node.max_concurrency / vms).max(1);
             }
         } else if self.policy.direct() {
             for node in catalog.upstreams.values_mut() {
-                node.slots = u16::MAX;
+                node.max_concurrency = u16::MAX;
             }
         }
         catalog
@@ -296,14 +296,14 @@
     }
 
     fn schedule_arrival(&mut self, service: Service) {
-        let shards = self.catalog.partition(service, tgw_topology::Layout(1));
+        let shards = self.catalog.layout(service, tgw_topology::Layout(1));
         let shards = shards.map_or(1, |p| p.shards.len()) as f64;
         let slots: f64 = self
             .catalog
             .upstreams
             .values()
             .filter(|u| u.service == service)
-            .map(|u| f64::from(u.slots))
+            .map(|u| f64::from(u.max_concurrency))
             .sum();
         let per_ms = self.setup.load * slots / model::mean_ms() / shards;
         let gap = Exp::new(per_ms).map_or(1.0, |e| e.sample(&mut self.arrivals));
--- a/crates/tgw-bench/src/slopes.rs
+++ b/crates/tgw-bench/src/slopes.rs
@@ -19,7 +19,7 @@
 use tgw_standin::size::{Spread, User};
 use tgw_topology::{
     Catalog, Group, Layout, Place, Query, Service, Shard, Snapshot, Upstream, Vm,
-    catalog::{Entry, Node, Partition},
+    catalog::{LayoutEntry, ServiceEntry, UpstreamEntry},
     place::{Domain, Region},
 };
 use tgw_wire::Keys;
@@ -101,7 +101,7 @@
     Slope { what: "decision core, entry and owner together", unit: "µs a leaf request", values }
 }
 
-fn mean_shards(entry: &Entry) -> f64 {
+fn mean_shards(entry: &ServiceEntry) -> f64 {
     entry.layouts.first().map_or(0.0, |l| l.shards.len() as f64)
 }
 
@@ -115,7 +115,7 @@
         let name = format!("vm-{index}");
         let entry =
             Member { name, incarnation: 1, place, addr: addr(), state: State::Alive, blind: false };
-        (Vm::named(&format!("vm-{index}")), entry)
+        (Vm::from_name(&format!("vm-{index}")), entry)
     };
     Directory { members: (0..vms).map(member).collect(), ..Directory::default() }
 }
@@ -150,7 +150,7 @@
 
 fn frames() -> Vec<Slope> {
     let query = Query { incarnation: 1 << 40, number: 1 << 20 };
-    let key = Key { from: Vm::named("vm"), query, shard: Shard(50), attempt: 0 };
+    let key = Key { from: Vm::from_name("vm"), query, shard: Shard(50), attempt: 0 };
     let ask = Message::Ask(Ask {
         group: Group { service: Service(100), instance: 50, domain: Domain(10) },
         stand_in: false,
@@ -219,7 +219,7 @@
     };
     let catalog = |services: u16| {
         let catalog = catalog(services);
-        let bytes = tgw_wire::seal(&keys, &catalog.since(0)).map_or(0, |f| f.len());
+        let bytes = tgw_wire::seal(&keys, &catalog.changed_since(0)).map_or(0, |f| f.len());
         (format!("{} upstreams", catalog.upstreams.len()), bytes as f64)
     };
     let part = |services: u16| {
@@ -251,8 +251,8 @@
     ]
 }
 
-fn catalog_parts(services: u16) -> Vec<tgw_topology::catalog::Part> {
-    catalog(services).since(0)
+fn catalog_parts(services: u16) -> Vec<tgw_topology::catalog::ServiceUpdate> {
+    catalog(services).changed_since(0)
 }
 
 /// Services of 110 shards with three replicas each, one shard an instance.
@@ -268,25 +268,25 @@
             let first = (u32::from(service) * u32::from(SHARDS) + u32::from(instance)) * 3;
             for replica in 0..3 {
                 let id_ = Upstream(first + replica);
-                let node = Node {
+                let node = UpstreamEntry {
                     id: id_,
                     service: id,
                     instance,
                     place,
                     addr: addr(),
-                    slots: 8,
-                    connections: 100,
+                    max_concurrency: 8,
+                    max_connections: 100,
                     leaving: false,
                 };
                 catalog.upstreams.insert(id_, node);
             }
             shards.push((0..3).map(|r| Upstream(first + r)).collect());
         }
-        let layout = Partition { id: Layout(1), shards };
+        let layout = LayoutEntry { id: Layout(1), shards };
         let snapshots = vec![Snapshot { version: 1, layout: Layout(1) }];
         let name = format!("service-{service}");
-        catalog.services.insert(id, Entry { id, name, snapshots, layouts: vec![layout] });
-        catalog.changed.insert(id, 1);
+        catalog.services.insert(id, ServiceEntry { id, name, snapshots, layouts: vec![layout] });
+        catalog.changed_versions.insert(id, 1);
     }
     catalog
 }
--- a/crates/tgw-bench/src/warmup/vm.rs
+++ b/crates/tgw-bench/src/warmup/vm.rs
@@ -62,7 +62,7 @@
         let region = at % REGIONS;
         let place = Place { region: Region(region as u8), domain: Domain(at as u8) };
         let options = Options {
-            vm: Id::named(&format!("vm-{number}")),
+            vm: Id::from_name(&format!("vm-{number}")),
             name: format!("vm-{number}"),
             incarnation: (1 << 16) + now.whole(),
             place,
@@ -100,7 +100,7 @@
                 domains.entry(domain(member.place.domain.0).into()).or_default().push(seat);
             }
         }
-        let own = Id::named(&format!("vm-{}", self.number)).0;
+        let own = Id::from_name(&format!("vm-{}", self.number)).0;
         self.core.fleet.set_roster(Roster::new(own, domains));
     }
 }
--- a/crates/tgw-demo/src/check.rs
+++ b/crates/tgw-demo/src/check.rs
@@ -82,7 +82,7 @@
     }
     let layout = Layout(answer.snapshot.layout);
     let snapshot = Snapshot { version: answer.snapshot.version, layout };
-    let shards = catalog.partition(service, layout).map_or(0, |p| p.shards.len() as u64);
+    let shards = catalog.layout(service, layout).map_or(0, |p| p.shards.len() as u64);
     if shards != answer.coverage.shards {
         broken("true coverage", format!("{} shards, layout has {shards}", answer.coverage.shards));
     }
--- a/crates/tgw-demo/src/fleet.rs
+++ b/crates/tgw-demo/src/fleet.rs
@@ -18,7 +18,7 @@
     Platform, Upstream,
     size::{self, Spread, User},
 };
-use tgw_topology::{Catalog, Place, catalog::Part};
+use tgw_topology::{Catalog, Place, catalog::ServiceUpdate};
 use tokio::{net::TcpListener, sync::watch, task::LocalSet};
 
 const KEY: &str = "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff";
@@ -128,8 +128,12 @@
     pub fn publish_service(&self, name: &str) -> anyhow::Result<()> {
         let entry = self.catalog.service(name).context("no such service")?;
         let own = self.catalog.upstreams.values().filter(|u| u.service == entry.id);
-        let part = Part { entry: entry.clone(), upstreams: own.cloned().collect(), changed: 0 };
-        self.platform.write("service", name, serde_json::to_value(&part)?);
+        let update = ServiceUpdate {
+            entry: entry.clone(),
+            upstreams: own.cloned().collect(),
+            changed_version: 0,
+        };
+        self.platform.write("service", name, serde_json::to_value(&update)?);
         Ok(())
     }
 
@@ -190,9 +194,9 @@
         let us = |ms: f64| Millis::from_f64(if self.size.distances { ms } else { 0.0 }).as_micros();
         format!(
             "local_us = {}\ndomains_us = {}\nregions_us = {}",
-            us(distance.local),
-            us(distance.domains),
-            us(distance.regions)
+            us(distance.same_domain_ms),
+            us(distance.cross_domain_ms),
+            us(distance.cross_region_ms)
         )
     }
 
--- a/crates/tgw-demo/src/way.rs
+++ b/crates/tgw-demo/src/way.rs
@@ -7,7 +7,7 @@
 use tgw_peer::{Network, Way};
 use tgw_topology::{
     Place,
-    place::{Distance, Domain},
+    place::{Domain, Latency},
 };
 
 #[derive(Debug, Default)]
@@ -54,7 +54,7 @@
 pub(crate) struct From {
     pub(crate) ways: Ways,
     pub(crate) place: Place,
-    pub(crate) distance: Distance,
+    pub(crate) distance: Latency,
 }
 
 impl Network for From {
--- a/crates/tgw-demo/tests/fleet.rs
+++ b/crates/tgw-demo/tests/fleet.rs
@@ -105,7 +105,7 @@
     let catalog = User::Aspen.catalog(Spread::Together);
     let service = catalog.service("publican-panel").expect("a service").clone();
     let snapshot = service.snapshots[0];
-    let shards = catalog.partition(service.id, snapshot.layout).expect("a layout").shards.len();
+    let shards = catalog.layout(service.id, snapshot.layout).expect("a layout").shards.len();
     let whole = check::Answer {
         query_id: "q".into(),
         snapshot: check::Version { version: snapshot.version, layout: snapshot.layout.0 },
--- a/crates/tgw-dispatch/src/group.rs
+++ b/crates/tgw-dispatch/src/group.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use tgw_clock::Millis;
 use tgw_tail::{Budget, Hedge};
-use tgw_topology::{Group as GroupId, Snapshot, Upstream, catalog::Node};
+use tgw_topology::{Group as GroupId, Snapshot, Upstream, catalog::UpstreamEntry};
 
 /// Queued requests examined in one pass; the rest wait for the next pass.
 const MAX_SCANNED_REQUESTS: usize = 64;
@@ -80,14 +80,14 @@
         }
     }
 
-    pub(crate) fn update(&mut self, nodes: &[&Node], options: &Options) {
+    pub(crate) fn update(&mut self, nodes: &[&UpstreamEntry], options: &Options) {
         self.handed_over = false;
         self.retry_budget.set_share(options.retry);
         self.options = options.clone();
         for node in nodes.iter().filter(|n| n.group() == self.id) {
             match self.upstreams.iter_mut().find(|u| u.id == node.id) {
                 Some(known) => {
-                    known.slots = node.slots;
+                    known.slots = node.max_concurrency;
                     if node.leaving {
                         known.mark_leaving();
                     }
--- a/crates/tgw-dispatch/src/health.rs
+++ b/crates/tgw-dispatch/src/health.rs
@@ -2,7 +2,7 @@
 use smallvec::SmallVec;
 use tgw_clock::Millis;
 use tgw_tail::Average;
-use tgw_topology::{Snapshot, Upstream, catalog::Node};
+use tgw_topology::{Snapshot, Upstream, catalog::UpstreamEntry};
 
 /// Consecutive failures after which an upstream is ejected.
 const EJECTION_FAILURES: u32 = 3;
@@ -61,14 +61,14 @@
 }
 
 impl Health {
-    pub(crate) fn new(node: &Node, cold: bool) -> Self {
+    pub(crate) fn new(node: &UpstreamEntry, cold: bool) -> Self {
         Self {
             id: node.id,
-            slots: node.slots,
+            slots: node.max_concurrency,
             in_flight: SmallVec::new(),
             latency_ms: Average::new(INITIAL_LATENCY_MS, LATENCY_WEIGHT),
             snapshots: None,
-            concurrency_limit: if cold { 1.0 } else { f64::from(node.slots) },
+            concurrency_limit: if cold { 1.0 } else { f64::from(node.max_concurrency) },
             consecutive_failures: 0,
             ejection_backoff: MIN_EJECTION_MS,
             ejected_until: None,
--- a/crates/tgw-dispatch/src/leaf.rs
+++ b/crates/tgw-dispatch/src/leaf.rs
@@ -70,7 +70,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Outcome {
     /// The items of the shard in the requested snapshot, or the result of an order.
-    Items(#[serde(with = "tgw_topology::text")] Bytes),
+    Items(#[serde(with = "tgw_topology::bytes_as_text")] Bytes),
     /// No upstream of the group that may be sent the request holds the snapshot.
     Gone,
     /// Every upstream that may be sent the request shed it.
@@ -96,11 +96,11 @@
         /// The shard that was searched.
         shard: Shard,
         /// The items as a JSON array.
-        #[serde(with = "tgw_topology::text")]
+        #[serde(with = "tgw_topology::bytes_as_text")]
         items: Bytes,
     },
     /// The upstream ran the order; the bytes are its result.
-    Ran(#[serde(with = "tgw_topology::text")] Bytes),
+    Ran(#[serde(with = "tgw_topology::bytes_as_text")] Bytes),
     /// The upstream does not hold the snapshot.
     Gone,
     /// The upstream is overloaded and rejected the request.
--- a/crates/tgw-dispatch/src/owner.rs
+++ b/crates/tgw-dispatch/src/owner.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use tgw_clock::Millis;
 use tgw_tail::Hedge;
-use tgw_topology::{Group as GroupId, Service, Snapshot, Upstream, catalog::Node};
+use tgw_topology::{Group as GroupId, Service, Snapshot, Upstream, catalog::UpstreamEntry};
 
 /// Identifies one send of a request to an upstream.
 pub type Ticket = u64;
@@ -197,7 +197,7 @@
     }
 
     /// Starts to dispatch to `nodes` of a group, or updates their description and the options.
-    pub fn take(&mut self, id: GroupId, nodes: &[&Node], options: &Options) {
+    pub fn take(&mut self, id: GroupId, nodes: &[&UpstreamEntry], options: &Options) {
         let new_policy = &self.new_policy;
         let group =
             self.groups.entry(id).or_insert_with(|| Group::new(id, options, new_policy(id)));
--- a/crates/tgw-dispatch/tests/dispatch.rs
+++ b/crates/tgw-dispatch/tests/dispatch.rs
@@ -13,7 +13,7 @@
 };
 use tgw_topology::{
     Group, Layout, Place, Query, Service, Shard, Snapshot, Upstream, Vm,
-    catalog::Node,
+    catalog::UpstreamEntry,
     place::{Domain, Region},
 };
 
@@ -21,15 +21,15 @@
 const GROUP: Group = Group { service: Service(0), instance: 0, domain: Domain(0) };
 const SLOTS: u16 = 2;
 
-fn node(id: u32) -> Node {
-    Node {
+fn node(id: u32) -> UpstreamEntry {
+    UpstreamEntry {
         id: Upstream(id),
         service: Service(0),
         instance: 0,
         place: Place { region: Region(0), domain: Domain(0) },
         addr: SocketAddr::from((Ipv4Addr::LOCALHOST, 1)),
-        slots: SLOTS,
-        connections: 25,
+        max_concurrency: SLOTS,
+        max_connections: 25,
         leaving: false,
     }
 }
@@ -46,7 +46,7 @@
     fn new() -> Self {
         let mut owner = Owner::new(Box::new(|_| Box::new(Late)));
         let nodes = [node(0), node(1), node(2)];
-        let nodes: Vec<&Node> = nodes.iter().collect();
+        let nodes: Vec<&UpstreamEntry> = nodes.iter().collect();
         let options = Options { hedge: 0.5, ..Options::default() };
         owner.take(GROUP, &nodes, &options);
         Self { owner, now: Millis::new(1), last_query: 0, out: Vec::new() }
--- a/crates/tgw-gateway/src/peers.rs
+++ b/crates/tgw-gateway/src/peers.rs
@@ -87,7 +87,7 @@
         let addr = tcp.local_addr()?;
         let peer = &shared.settings.peer;
         let options = tgw_member::Options {
-            vm: Vm::named(&shared.settings.vm),
+            vm: Vm::from_name(&shared.settings.vm),
             name: shared.settings.vm.clone(),
             incarnation: incarnation_now(),
             place: peer.place,
@@ -311,7 +311,7 @@
         let directory = self.member.borrow().directory();
         self.shared.peers_without_store.set(self.member.borrow().blind_near());
         self.update_hosts(&directory);
-        let own = Vm::named(&self.shared.settings.vm);
+        let own = Vm::from_name(&self.shared.settings.vm);
         let own_region = directory.members.get(&own).map(|m| m.place.region);
         let all = directory.owners().count();
         let others = || directory.owners().filter(|(vm, _)| *vm != own);
@@ -355,7 +355,7 @@
             let seat = Seat { vm: vm.0, addr: entry.addr, dead_until };
             domains.entry(domain.into()).or_default().push(seat);
         }
-        Roster::new(Vm::named(&self.shared.settings.vm).0, domains)
+        Roster::new(Vm::from_name(&self.shared.settings.vm).0, domains)
     }
 
     /// Updates the addresses of the live VMs of other regions.
--- a/crates/tgw-node/src/event.rs
+++ b/crates/tgw-node/src/event.rs
@@ -16,7 +16,7 @@
     step::{Note as QueryNote, Token},
 };
 use tgw_table::Document;
-use tgw_topology::{Catalog, Group, Place, Service, Upstream, Vm, place::Distance};
+use tgw_topology::{Catalog, Group, Place, Service, Upstream, Vm, place::Latency};
 
 /// Options of the core.
 pub struct Options {
@@ -25,7 +25,7 @@
     /// The VM's region and failure domain.
     pub place: Place,
     /// Network delays that estimates start from.
-    pub distance: Distance,
+    pub distance: Latency,
     /// Makes the policy that chooses upstreams in a group.
     pub policy: Box<dyn Fn(Group) -> Box<dyn Policy> + Send>,
     /// Options of the dispatch to groups; budgets are replaced by those in the table's rows.
@@ -42,7 +42,7 @@
     /// Its region and failure domain.
     pub place: Place,
     /// Network delays that estimates start from.
-    pub distance: Distance,
+    pub distance: Latency,
     /// Most queries that run at once, over all services.
     pub places: u32,
     /// The decisions of one in this many queries are logged.
@@ -75,7 +75,7 @@
     /// The caller's timeout; applies if it is shorter than the one in the service's row.
     pub within: Option<Millis>,
     /// The body of the order.
-    #[serde(with = "tgw_topology::text")]
+    #[serde(with = "tgw_topology::bytes_as_text")]
     pub body: bytes::Bytes,
 }
 
@@ -99,7 +99,7 @@
         /// The caller's timeout; applies if it is shorter than the one in the service's row.
         within: Option<Millis>,
         /// The body of the search.
-        #[serde(with = "tgw_topology::text")]
+        #[serde(with = "tgw_topology::bytes_as_text")]
         body: bytes::Bytes,
     },
     /// The caller disconnected.
--- a/crates/tgw-node/src/message.rs
+++ b/crates/tgw-node/src/message.rs
@@ -43,7 +43,7 @@
     /// Time after which the request is returned if it is still queued.
     pub patience: Option<Millis>,
     /// The body of the search.
-    #[serde(with = "tgw_topology::text")]
+    #[serde(with = "tgw_topology::bytes_as_text")]
     pub body: Bytes,
     /// Whether decisions about the request are logged.
     pub traced: bool,
@@ -66,7 +66,7 @@
     #[serde(rename = "left")]
     pub remaining: Millis,
     /// The body of the order.
-    #[serde(with = "tgw_topology::text")]
+    #[serde(with = "tgw_topology::bytes_as_text")]
     pub body: Bytes,
 }
 
--- a/crates/tgw-node/src/node.rs
+++ b/crates/tgw-node/src/node.rs
@@ -18,7 +18,7 @@
 use tgw_owner::{Directory, Map};
 use tgw_query::{Action, Entry, Event, Owners, Stats, View};
 use tgw_table::Document;
-use tgw_topology::{Catalog, Group, Place, Upstream, Vm, catalog::Index, place::Distance};
+use tgw_topology::{Catalog, Group, Place, Upstream, Vm, catalog::Index, place::Latency};
 
 /// Interval of checks of the groups served here.
 const GROUP_CHECK_INTERVAL_MS: Millis = Millis::new(100);
@@ -52,7 +52,7 @@
 pub struct Node {
     pub(crate) me: Vm,
     pub(crate) place: Place,
-    pub(crate) distance: Distance,
+    pub(crate) distance: Latency,
     pub(crate) dispatch: owner::Options,
     pub(crate) entry: Entry,
     pub(crate) orders: Orders,
--- a/crates/tgw-node/src/ownership.rs
+++ b/crates/tgw-node/src/ownership.rs
@@ -10,7 +10,7 @@
 use tgw_owner::{Directory, State};
 use tgw_topology::{
     Catalog, Group, Place, Upstream, Vm,
-    catalog::{Index, Node as UpstreamEntry},
+    catalog::{Index, UpstreamEntry},
     place::Domain,
 };
 
--- a/crates/tgw-peer/src/frame.rs
+++ b/crates/tgw-peer/src/frame.rs
@@ -6,7 +6,7 @@
 use tgw_table::{Edit, document::Delta};
 use tgw_topology::{
     Vm,
-    catalog::{Part, Version},
+    catalog::{ServiceUpdate, Version},
 };
 
 /// One frame on a link.
@@ -41,6 +41,6 @@
         /// The version of the catalog with these changes.
         version: Version,
         /// The services that changed.
-        parts: Vec<Part>,
+        parts: Vec<ServiceUpdate>,
     },
 }
--- a/crates/tgw-query/src/snapshot.rs
+++ b/crates/tgw-query/src/snapshot.rs
@@ -5,7 +5,7 @@
 use tgw_table::row::Choice;
 use tgw_topology::{
     Catalog, Service, Shard, Snapshot,
-    catalog::{Entry, Index, Version},
+    catalog::{Index, ServiceEntry, Version},
 };
 
 /// A snapshot and the part of it that can be served.
@@ -99,7 +99,7 @@
 fn candidate(
     (catalog, index): (&Catalog, &Index),
     tracker: &Tracker,
-    entry: &Entry,
+    entry: &ServiceEntry,
     snapshot: Snapshot,
 ) -> Option<Candidate> {
     let layout = entry.layouts.iter().find(|l| l.id == snapshot.layout)?;
@@ -127,9 +127,9 @@
     shard: Shard,
 ) -> u8 {
     let replicas = catalog.replicas(service, snapshot.layout, shard);
-    let holder_probability = |node: &tgw_topology::catalog::Node| {
+    let holder_probability = |node: &tgw_topology::catalog::UpstreamEntry| {
         let group = node.group();
-        let members = f64::from(index.get(group).map_or(1, |m| m.staying).max(1));
+        let members = f64::from(index.get(group).map_or(1, |m| m.not_leaving).max(1));
         tracker.holders(group, snapshot).map_or(1.0, |count| (f64::from(count) / members).min(1.0))
     };
     let holders: f64 =
--- a/crates/tgw-query/src/step.rs
+++ b/crates/tgw-query/src/step.rs
@@ -8,7 +8,7 @@
 use tgw_dispatch::leaf::{Key, Leaf, Outcome, Stock};
 use tgw_table::Document;
 use tgw_topology::{
-    Catalog, Group, Place, Query, Service, Shard, Snapshot, Vm, catalog::Index, place::Distance,
+    Catalog, Group, Place, Query, Service, Shard, Snapshot, Vm, catalog::Index, place::Latency,
 };
 
 /// Identifies a caller's request between the thread that serves callers and the core.
@@ -36,7 +36,7 @@
     /// The region and failure domain of this VM.
     pub here: Place,
     /// Network delays, the base of the latency estimates.
-    pub distance: Distance,
+    pub distance: Latency,
 }
 
 /// Input of the entry.
--- a/crates/tgw-query/src/tracker.rs
+++ b/crates/tgw-query/src/tracker.rs
@@ -151,7 +151,7 @@
     }
 
     fn slots(&self, group: Group, view: &View<'_>) -> f64 {
-        view.index.get(group).map_or(1, |m| m.slots).max(1).into()
+        view.index.get(group).map_or(1, |m| m.max_concurrency).max(1).into()
     }
 
     pub(crate) fn record_attempt(&mut self, now: Millis, group: Group, to: Vm) {
--- a/crates/tgw-query/tests/simulation/mod.rs
+++ b/crates/tgw-query/tests/simulation/mod.rs
@@ -15,8 +15,8 @@
 use tgw_table::{Document, Row};
 use tgw_topology::{
     Catalog, Group, Layout, Place, Service, Snapshot, Upstream, Vm,
-    catalog::{Entry as ServiceEntry, Index, Node, Partition},
-    place::{Distance, Domain, Region},
+    catalog::{Index, LayoutEntry, ServiceEntry, UpstreamEntry},
+    place::{Domain, Latency, Region},
 };
 
 pub(crate) const SERVICE: Service = Service(0);
@@ -45,20 +45,20 @@
 fn catalog() -> Catalog {
     let mut catalog = Catalog { version: 1, ..Catalog::default() };
     for domain in 0..3u8 {
-        let node = Node {
+        let node = UpstreamEntry {
             id: Upstream(domain.into()),
             service: SERVICE,
             instance: 0,
             place: place(domain),
             addr: SocketAddr::from((Ipv4Addr::LOCALHOST, 1)),
-            slots: 4,
-            connections: 10,
+            max_concurrency: 4,
+            max_connections: 10,
             leaving: false,
         };
         catalog.upstreams.insert(node.id, node);
     }
     let replicas = || (0..3).map(Upstream).collect();
-    let layout = |id: u32, shards: u16| Partition {
+    let layout = |id: u32, shards: u16| LayoutEntry {
         id: Layout(id),
         shards: (0..shards).map(|_| replicas()).collect(),
     };
@@ -327,7 +327,7 @@
             table: Some(&self.table),
             owners: &StaticOwners,
             here: place(0),
-            distance: Distance { local: 0.1, domains: 1.0, regions: 10.0 },
+            distance: Latency { same_domain_ms: 0.1, cross_domain_ms: 1.0, cross_region_ms: 10.0 },
         };
         self.entry.on(self.now, event, &view, &mut out);
         for action in out {
@@ -364,7 +364,7 @@
         let seed = self.seed;
         let body = self.query_bodies[&token].clone();
         let layout = answer.snapshot.layout;
-        let shards = self.catalog.partition(SERVICE, layout).expect("a layout").shards.len();
+        let shards = self.catalog.layout(SERVICE, layout).expect("a layout").shards.len();
         assert_eq!(answer.coverage.shards, shards, "seed {seed}: shards of another layout");
         let mut seen = BTreeSet::new();
         for (shard, found) in &answer.items {
--- a/crates/tgw-serve/src/config.rs
+++ b/crates/tgw-serve/src/config.rs
@@ -16,7 +16,7 @@
 use tgw_platform::{Error, Expect, Object, Store, Version, object::List};
 use tgw_ring::{Receiver, Sender};
 use tgw_table::{Document, adopt};
-use tgw_topology::{Catalog, Vm, catalog::Part};
+use tgw_topology::{Catalog, Vm, catalog::ServiceUpdate};
 use tokio::{
     sync::watch,
     task::{LocalSet, spawn_local},
@@ -203,7 +203,7 @@
         }
     }
 
-    fn take_parts(&self, version: Version, parts: Vec<Part>) {
+    fn take_parts(&self, version: Version, parts: Vec<ServiceUpdate>) {
         let mut catalog = self.catalog.borrow_mut();
         if catalog.merge(version, parts) {
             let _ = self.core.push(Work::Catalog(Arc::new(catalog.clone())));
@@ -293,20 +293,20 @@
         }
         let catalog = self.catalog.borrow();
         if catalog.version > world {
-            let (version, parts) = (catalog.version, catalog.since(world));
+            let (version, parts) = (catalog.version, catalog.changed_since(world));
             let _ = self.peers.push(Outgoing::Parcel(from, Parcel::World { version, parts }));
         }
     }
 }
 
-fn part(object: Object) -> Option<Part> {
-    let mut part: Part = serde_json::from_value(object.value)
+fn part(object: Object) -> Option<ServiceUpdate> {
+    let mut part: ServiceUpdate = serde_json::from_value(object.value)
         .map_err(|error| {
             tracing::error!(target: "tgw::platform", name = object.name, %error,
                 "a service object is unreadable");
         })
         .ok()?;
-    part.changed = object.version;
+    part.changed_version = object.version;
     Some(part)
 }
 
--- a/crates/tgw-serve/src/queries.rs
+++ b/crates/tgw-serve/src/queries.rs
@@ -295,7 +295,7 @@
 
     fn connect(&mut self, upstream: Upstream) {
         let node = self.node.catalog().upstreams.get(&upstream);
-        if let Some((addr, slots)) = node.map(|n| (n.addr, n.slots)) {
+        if let Some((addr, slots)) = node.map(|n| (n.addr, n.max_concurrency)) {
             self.errand(Errand::Connect { upstream, addr, slots });
         }
     }
@@ -378,7 +378,7 @@
 
     fn upstream_lines(&self, now: Millis) -> Vec<UpstreamLine> {
         let catalog = self.node.catalog();
-        let line = |node: &tgw_topology::catalog::Node| UpstreamLine {
+        let line = |node: &tgw_topology::catalog::UpstreamEntry| UpstreamLine {
             upstream: node.id.to_string(),
             service: catalog
                 .services
--- a/crates/tgw-serve/src/serve.rs
+++ b/crates/tgw-serve/src/serve.rs
@@ -29,7 +29,7 @@
 use tgw_settings::Settings;
 use tgw_topology::{
     Place, Vm,
-    place::{Distance, Domain, Region},
+    place::{Domain, Latency, Region},
 };
 use tgw_wire::Keys;
 use tokio::sync::watch;
@@ -226,7 +226,7 @@
     let clock: Arc<dyn Clock> = Arc::new(Monotonic::default());
     let gauges = Arc::new(Gauges::default());
     let metrics = Arc::new(Metrics::open(&gauges)?);
-    let vm = Vm::named(&settings.vm.name);
+    let vm = Vm::from_name(&settings.vm.name);
     let incarnation = incarnation();
     let place = Place { region: Region(settings.vm.region), domain: Domain(settings.vm.domain) };
     let (core, work) = channel(CORE);
@@ -347,10 +347,10 @@
 fn identity(settings: &Settings, vm: Vm, incarnation: u64, place: Place) -> Identity {
     let us = |micros: u64| Millis::from_micros(micros).as_f64();
     let network = settings.network;
-    let distance = Distance {
-        local: us(network.local_us),
-        domains: us(network.domains_us),
-        regions: us(network.regions_us),
+    let distance = Latency {
+        same_domain_ms: us(network.local_us),
+        cross_domain_ms: us(network.domains_us),
+        cross_region_ms: us(network.regions_us),
     };
     let (places, sample) = (settings.listen.concurrency as u32, settings.log.sample);
     Identity { vm, incarnation, place, distance, places, sample }
--- a/crates/tgw-serve/src/work.rs
+++ b/crates/tgw-serve/src/work.rs
@@ -87,7 +87,7 @@
     /// What changed in the table, from a VM.
     Table(tgw_table::document::Delta),
     /// What changed in the catalog, from a VM.
-    World { version: u64, parts: Vec<tgw_topology::catalog::Part> },
+    World { version: u64, parts: Vec<tgw_topology::catalog::ServiceUpdate> },
     /// A call of the store for the clerk.
     Store(tgw_order::Action),
     /// Whether this VM watches the platform for its domain.
--- a/crates/tgw-standin/src/size.rs
+++ b/crates/tgw-standin/src/size.rs
@@ -10,8 +10,8 @@
 use tgw_table::{Document, Row, row::Choice};
 use tgw_topology::{
     Catalog, Layout, Place, Service, Snapshot, Upstream,
-    catalog::{Entry, Node, Partition, Replicas},
-    place::{Distance, Domain, Region},
+    catalog::{LayoutEntry, Replicas, ServiceEntry, UpstreamEntry},
+    place::{Domain, Latency, Region},
 };
 
 /// Failure domains of a region.
@@ -79,10 +79,14 @@
     }
 
     /// One-way network delays.
-    pub fn distance(self) -> Distance {
+    pub fn distance(self) -> Latency {
         match self {
-            Self::Coimbra => Distance { local: 0.1, domains: 1.5, regions: 12.0 },
-            Self::Aspen => Distance { local: 0.1, domains: 1.0, regions: 20.0 },
+            Self::Coimbra => {
+                Latency { same_domain_ms: 0.1, cross_domain_ms: 1.5, cross_region_ms: 12.0 }
+            }
+            Self::Aspen => {
+                Latency { same_domain_ms: 0.1, cross_domain_ms: 1.0, cross_region_ms: 20.0 }
+            }
         }
     }
 
@@ -181,26 +185,27 @@
             (_, Spread::Apart) => place(usize::from(instance + member)),
         };
         let id = Upstream(first + u32::from(index));
-        let node = Node {
+        let node = UpstreamEntry {
             id,
             service,
             instance,
             place,
             addr: SocketAddr::from((Ipv4Addr::LOCALHOST, 0)),
-            slots: size.slots,
-            connections: size.connections,
+            max_concurrency: size.slots,
+            max_connections: size.connections,
             leaving: false,
         };
         catalog.upstreams.insert(id, node);
     }
     let parts = if size.instances > 0 { size.instances } else { size.upstreams };
     let layouts = (1..=2)
-        .map(|id| Partition {
+        .map(|id| LayoutEntry {
             id: Layout(id),
             shards: (0..parts * id as u16).map(|s| replicas(first, size, s % parts)).collect(),
         })
         .collect();
-    let entry = Entry { id: service, name: size.name.into(), snapshots: vec![FIRST], layouts };
+    let entry =
+        ServiceEntry { id: service, name: size.name.into(), snapshots: vec![FIRST], layouts };
     catalog.services.insert(service, entry);
 }
 
--- a/crates/tgw-standin/src/upstream.rs
+++ b/crates/tgw-standin/src/upstream.rs
@@ -20,7 +20,7 @@
     time::Duration,
 };
 use tgw_clock::Millis;
-use tgw_topology::{Catalog, Layout, Shard, Snapshot, catalog::Node};
+use tgw_topology::{Catalog, Layout, Shard, Snapshot, catalog::UpstreamEntry};
 use tgw_upstream::protocol;
 use tokio::{
     net::{TcpListener, TcpStream},
@@ -85,7 +85,7 @@
 }
 
 struct Shared {
-    node: Node,
+    node: UpstreamEntry,
     shards: BTreeMap<Layout, u64>,
     connect: Duration,
     incarnation: u64,
@@ -112,7 +112,7 @@
 
 impl Upstream {
     /// An upstream described by `node` of `catalog`, not serving yet.
-    pub fn new(catalog: &Catalog, node: &Node, connect: Millis, seed: u64) -> Self {
+    pub fn new(catalog: &Catalog, node: &UpstreamEntry, connect: Millis, seed: u64) -> Self {
         let entry = catalog.services.get(&node.service);
         let shards = entry.iter().flat_map(|e| &e.layouts);
         let shards = shards.map(|l| (l.id, l.shards.len() as u64)).collect();
@@ -139,14 +139,14 @@
     }
 
     /// Its description.
-    pub fn node(&self) -> &Node {
+    pub fn node(&self) -> &UpstreamEntry {
         &self.0.node
     }
 
     /// Serves on `listener` within the current `LocalSet` for as long as it is polled.
     pub async fn serve(&self, listener: TcpListener) -> io::Result<()> {
         let local = Rc::new(Local {
-            slots: Semaphore::new(usize::from(self.0.node.slots)),
+            slots: Semaphore::new(usize::from(self.0.node.max_concurrency)),
             waiting: Cell::new(0),
             running: Cell::new(0),
             connections: Cell::new(0),
@@ -179,7 +179,7 @@
 
 impl Local {
     async fn admit(self: Rc<Self>, stream: TcpStream) {
-        let limit = usize::from(self.shared.node.connections);
+        let limit = usize::from(self.shared.node.max_connections);
         let open = self.connections.get();
         {
             let mut journal = lock(&self.shared.journal);
@@ -228,8 +228,10 @@
     }
 
     fn load(&self, knobs: &Knobs) -> Response<Full<Bytes>> {
-        let load =
-            serde_json::json!({ "slots": self.shared.node.slots, "running": self.running.get() });
+        let load = serde_json::json!({
+            "slots": self.shared.node.max_concurrency,
+            "running": self.running.get(),
+        });
         let mut response = http::json(200, load.to_string());
         self.mark(&mut response, knobs);
         if knobs.draining && !knobs.misleading {
@@ -283,7 +285,7 @@
             journal.refused_draining += 1;
             return Some(protocol::DRAINING);
         }
-        let full = self.waiting.get() >= usize::from(self.shared.node.slots) * BACKLOG;
+        let full = self.waiting.get() >= usize::from(self.shared.node.max_concurrency) * BACKLOG;
         if knobs.shedding || full {
             journal.shed += 1;
             return Some(protocol::SHED);
--- a/crates/tgw-topology/src/id.rs
+++ b/crates/tgw-topology/src/id.rs
@@ -12,7 +12,7 @@
 
 impl Vm {
     /// The identity of the VM with this configured name.
-    pub fn named(name: &str) -> Self {
+    pub fn from_name(name: &str) -> Self {
         Self(xxh3_64(name.as_bytes()))
     }
 }
--- a/crates/tgw-topology/src/place.rs
+++ b/crates/tgw-topology/src/place.rs
@@ -31,22 +31,25 @@
 
 /// One-way network delays in milliseconds, by the distance between two places.
 #[derive(Copy, Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Distance {
+pub struct Latency {
     /// Within a failure domain.
-    pub local: f64,
+    #[serde(rename = "local")]
+    pub same_domain_ms: f64,
     /// Between failure domains of a region.
-    pub domains: f64,
+    #[serde(rename = "domains")]
+    pub cross_domain_ms: f64,
     /// Between regions.
-    pub regions: f64,
+    #[serde(rename = "regions")]
+    pub cross_region_ms: f64,
 }
 
-impl Distance {
+impl Latency {
     /// The one-way delay from `a` to `b`, in milliseconds.
     pub fn between(&self, a: Place, b: Place) -> f64 {
         match (a.region == b.region, a.domain == b.domain) {
-            (true, true) => self.local,
-            (true, false) => self.domains,
-            (false, _) => self.regions,
+            (true, true) => self.same_domain_ms,
+            (true, false) => self.cross_domain_ms,
+            (false, _) => self.cross_region_ms,
         }
     }
 }
