--- a/crates/tgw-dispatch/src/group.rs
+++ b/crates/tgw-dispatch/src/group.rs
@@ -82,7 +82,7 @@
 
     pub(crate) fn update(&mut self, nodes: &[&UpstreamEntry], options: &Options) {
         self.handed_over = false;
-        self.retry_budget.set_share(options.retry);
+        self.retry_budget.set_ratio(options.retry);
         self.options = options.clone();
         for node in nodes.iter().filter(|n| n.group() == self.id) {
             match self.upstreams.iter_mut().find(|u| u.id == node.id) {
@@ -325,7 +325,7 @@
         // A request that was shed, or whose snapshot was missing, cost the upstream nothing, so
         // only retries of work that may have been done are charged to the budget.
         let is_free = matches!(task.last_failure, Some(Outcome::Shed | Outcome::Gone));
-        if may_send && now < task.leaf.deadline && (is_free || self.retry_budget.spend()) {
+        if may_send && now < task.leaf.deadline && (is_free || self.retry_budget.try_spend()) {
             self.queue.insert((task.leaf.deadline, task_id));
             self.fail_if_unservable(now, task_id, out);
         } else {
@@ -428,7 +428,7 @@
             let kind = if task.sends == 0 { What::Send } else { What::Retry };
             self.queue.remove(&at);
             if kind == What::Send {
-                service.hedge.request();
+                service.hedge.record_request();
                 self.retry_budget.earn();
             }
             self.send(now, at.1, usable[chosen], kind, service, out);
--- a/crates/tgw-dispatch/src/owner.rs
+++ b/crates/tgw-dispatch/src/owner.rs
@@ -203,7 +203,7 @@
             self.groups.entry(id).or_insert_with(|| Group::new(id, options, new_policy(id)));
         group.update(nodes, options);
         let new_hedge = || Hedge::new(options.hedge);
-        self.hedges.entry(id.service).or_insert_with(new_hedge).set_share(options.hedge);
+        self.hedges.entry(id.service).or_insert_with(new_hedge).set_ratio(options.hedge);
         self.upstreams.extend(nodes.iter().map(|n| (n.id, id)));
     }
 
--- a/crates/tgw-dispatch/src/timeouts.rs
+++ b/crates/tgw-dispatch/src/timeouts.rs
@@ -54,7 +54,7 @@
             {
                 send.counted_late = true;
                 newly_late = true;
-                service.hedge.late();
+                service.hedge.record_late();
             }
             if newly_late {
                 upstream.record_late(now);
@@ -99,7 +99,7 @@
             });
             let candidates = self.candidates(now, &usable);
             let Some(chosen) = self.policy.choose(now, &candidates) else { continue };
-            if !service.hedge.fire() {
+            if !service.hedge.try_spend() {
                 return;
             }
             self.send(now, task_id, usable[chosen], What::Hedge, service, out);
--- a/crates/tgw-forward/src/core.rs
+++ b/crates/tgw-forward/src/core.rs
@@ -241,10 +241,9 @@
     pub(crate) fn hedge(&mut self, route: &Route, distance: Distance) -> &mut Hedge {
         let start = route.aim.scale(HEDGE_START_FACTOR);
         let share = self.policy.hedge_share;
-        let hedges = self
-            .hedges
-            .entry(route.name.clone())
-            .or_insert_with(|| std::array::from_fn(|_| Hedge::new(share).starting(start)));
+        let hedges = self.hedges.entry(route.name.clone()).or_insert_with(|| {
+            std::array::from_fn(|_| Hedge::new(share).with_initial_delay(start))
+        });
         match distance {
             Distance::Domain => &mut hedges[0],
             Distance::Region => &mut hedges[1],
--- a/crates/tgw-forward/src/sends.rs
+++ b/crates/tgw-forward/src/sends.rs
@@ -40,7 +40,7 @@
                 let late_distance =
                     part.tried.last().and_then(|k| core.fleet.get(*k)).map(|u| u.distance);
                 if let Some(distance) = late_distance {
-                    core.hedge(&self.route, distance).late();
+                    core.hedge(&self.route, distance).record_late();
                 }
             }
             let part = &mut self.parts[index];
@@ -97,7 +97,7 @@
             let distance = core.fleet.get(key).map_or(Distance::Far, |u| u.distance);
             let hedge = core.hedge(&route, distance);
             if why == Why::First {
-                hedge.request();
+                hedge.record_request();
             }
             let delay =
                 hedge.delay().min(route.aim.scale(MAX_HEDGE_DELAY_FACTOR)).max(MIN_HEDGE_DELAY_MS);
--- a/crates/tgw-query/src/attempt.rs
+++ b/crates/tgw-query/src/attempt.rs
@@ -50,8 +50,8 @@
         // entry.
         let remaining_share =
             (hedge_share - budgets.owner_extra_sends.get()).max(MIN_HEDGE_RATIO.min(hedge_share));
-        budgets.hedge.set_share(remaining_share);
-        budgets.retry.set_share(retry_share);
+        budgets.hedge.set_ratio(remaining_share);
+        budgets.retry.set_ratio(retry_share);
         budgets
     }
 
--- a/crates/tgw-query/src/entry.rs
+++ b/crates/tgw-query/src/entry.rs
@@ -272,7 +272,7 @@
         for index in 0..running.shards.len() {
             self.stats.leafs += 1;
             let budgets = self.budgets(cx, running.service);
-            budgets.hedge.request();
+            budgets.hedge.record_request();
             budgets.retry.earn();
             if !self.request_shard(cx, running, index, AttemptReason::First) {
                 self.mark_missing(cx, running, index, MissingReason::Unreachable);
--- a/crates/tgw-query/src/outcome.rs
+++ b/crates/tgw-query/src/outcome.rs
@@ -173,7 +173,7 @@
         // A request that was rejected cost the upstream nothing; only work that may have been done
         // is charged to the budget.
         matches!(reason, MissingReason::Shed | MissingReason::SnapshotGone)
-            || self.budgets(cx, service).retry.spend()
+            || self.budgets(cx, service).retry.try_spend()
     }
 
     pub(crate) fn has_untried_group(
--- a/crates/tgw-query/src/timeouts.rs
+++ b/crates/tgw-query/src/timeouts.rs
@@ -51,7 +51,7 @@
                     continue;
                 };
                 if !std::mem::replace(&mut progress.counted_late, true) {
-                    budgets.hedge.late();
+                    budgets.hedge.record_late();
                 }
                 if progress.is_open() && !progress.hedged {
                     due.push((sent_at, running.query, index));
@@ -62,7 +62,7 @@
         for (_, query, index) in due {
             let Some(mut running) = self.running.remove(&query) else { continue };
             let may_hedge = self.has_untried_group(cx, &running, index);
-            if may_hedge && self.budgets(cx, running.service).hedge.fire() {
+            if may_hedge && self.budgets(cx, running.service).hedge.try_spend() {
                 running.shards[index].hedged = true;
                 self.request_shard(cx, &mut running, index, AttemptReason::Hedge);
             }
@@ -88,7 +88,7 @@
         for (query, shard) in affected {
             let Some(mut running) = self.running.remove(&query) else { continue };
             let index = usize::from(shard.0);
-            let reassigned = self.budgets(cx, running.service).retry.spend()
+            let reassigned = self.budgets(cx, running.service).retry.try_spend()
                 && self.request_shard(cx, &mut running, index, AttemptReason::Silent);
             // If every VM that could dispatch is unresponsive, as behind a partition, the caller
             // would otherwise wait until its deadline for outcomes that cannot arrive.
--- a/crates/tgw-tail/src/budget.rs
+++ b/crates/tgw-tail/src/budget.rs
@@ -14,7 +14,7 @@
     }
 
     /// Sets the ratio of extra to useful requests, which a new edition of the table may change.
-    pub fn set_share(&mut self, ratio: f64) {
+    pub fn set_ratio(&mut self, ratio: f64) {
         self.ratio = ratio;
     }
 
@@ -24,7 +24,7 @@
     }
 
     /// Spends one token; false if less than one token is left.
-    pub fn spend(&mut self) -> bool {
+    pub fn try_spend(&mut self) -> bool {
         // Without this limit, a fleet that has lost half its replicas retries each failure and doubles
         // its own load. Tokens come only from useful requests, so that extra ones stay a fixed share.
         let enough = self.tokens >= 1.0;
--- a/crates/tgw-tail/src/hedge.rs
+++ b/crates/tgw-tail/src/hedge.rs
@@ -35,18 +35,18 @@
     }
 
     /// Replaces the default initial delay.
-    pub fn starting(self, initial: Millis) -> Self {
+    pub fn with_initial_delay(self, initial: Millis) -> Self {
         Self { delay_ms: initial.as_f64().max(MIN_DELAY_MS), ..self }
     }
 
     /// Sets the allowed extra load, which a new edition of the table may change.
-    pub fn set_share(&mut self, ratio: f64) {
+    pub fn set_ratio(&mut self, ratio: f64) {
         self.ratio = ratio;
-        self.budget.set_share(ratio);
+        self.budget.set_ratio(ratio);
     }
 
     /// Records one request that is not a hedge.
-    pub fn request(&mut self) {
+    pub fn record_request(&mut self) {
         self.budget.earn();
         self.delay_ms =
             (self.delay_ms * (-DELAY_GAIN * self.late_fraction()).exp()).max(MIN_DELAY_MS);
@@ -64,7 +64,7 @@
     }
 
     /// Records one request that has just become late, whether or not it can be hedged.
-    pub fn late(&mut self) {
+    pub fn record_late(&mut self) {
         // If only hedges raised it, the delay of a group that has no upstream for hedges would fall
         // until every request was late and every upstream a straggler.
         self.delay_ms =
@@ -72,7 +72,7 @@
     }
 
     /// Spends one hedge of the budget on a late request; false if the budget is exhausted or zero.
-    pub fn fire(&mut self) -> bool {
-        self.ratio > 0.0 && self.budget.spend()
+    pub fn try_spend(&mut self) -> bool {
+        self.ratio > 0.0 && self.budget.try_spend()
     }
 }
