--- a/crates/tgw-bench/src/slopes.rs
+++ b/crates/tgw-bench/src/slopes.rs
@@ -198,7 +198,7 @@
     let table = |services: usize| {
         let mut document = tgw_table::Document::default();
         for index in 0..services {
-            let row = tgw_table::Row::named(&format!("service-{index:04}"));
+            let row = tgw_table::Row::with_defaults(&format!("service-{index:04}"));
             document.rows.insert(row.service.clone(), row);
         }
         document
@@ -208,12 +208,12 @@
         (format!("{services} services"), bytes as f64)
     };
     let delta = |services: usize| {
-        let old = tgw_table::Document::default().next(&table(services));
+        let old = tgw_table::Document::default().next_edition(&table(services));
         let mut wanted = old.clone();
         if let Some(row) = wanted.rows.values_mut().next() {
             row.weight += 1;
         }
-        let delta = old.next(&wanted).delta(old.edit);
+        let delta = old.next_edition(&wanted).delta(old.edition);
         let bytes = tgw_wire::seal(&keys, &delta).map_or(0, |f| f.len());
         (format!("{services} services"), bytes as f64)
     };
--- a/crates/tgw-demo/src/fleet.rs
+++ b/crates/tgw-demo/src/fleet.rs
@@ -114,9 +114,9 @@
     }
 
     /// Writes the user's table and all services to the platform.
-    fn publish(&self, edit: u64) -> anyhow::Result<()> {
+    fn publish(&self, edition: u64) -> anyhow::Result<()> {
         let mut table = self.size.user.table();
-        table.edit = edit;
+        table.edition = edition;
         self.platform.write("table", "main", serde_json::to_value(&table)?);
         for entry in self.catalog.services.values() {
             self.publish_service(&entry.name)?;
--- a/crates/tgw-operate/src/table.rs
+++ b/crates/tgw-operate/src/table.rs
@@ -6,7 +6,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 use tgw_platform::{Error as StoreError, Expect, Store, Version};
 use tgw_table::{
-    Document, Edit, Finding,
+    Document, Edition, Finding,
     diff::{self, Change},
 };
 
@@ -26,7 +26,7 @@
 pub struct Revision {
     /// The edition that the edit created.
     #[serde(rename = "edit")]
-    pub edition: Edit,
+    pub edition: Edition,
     /// Time of the edit in Unix seconds.
     pub at_s: u64,
     /// Descriptions of the changes.
@@ -52,9 +52,9 @@
     #[display("conflict: the table is at edition {current}, the file was made from {base}")]
     Conflict {
         /// The edition that the text was made from.
-        base: Edit,
+        base: Edition,
         /// The current edition.
-        current: Edit,
+        current: Edition,
         /// Rows changed after `base`, and the changes that the text would make to the current table.
         rows: Vec<String>,
     },
@@ -73,7 +73,7 @@
 }
 
 /// Splits a text into the edition that it was made from, if its first line names one, and the CSV.
-pub fn split_edition(text: &str) -> (Option<Edit>, &str) {
+pub fn split_edition(text: &str) -> (Option<Edition>, &str) {
     let Some(rest) = text.strip_prefix(EDITION_PREFIX) else { return (None, text) };
     let (number, rest) = rest.split_once('\n').unwrap_or((rest, ""));
     (number.trim().parse().ok(), rest)
@@ -82,7 +82,7 @@
 /// Reads the table from the platform as CSV, after a first line that names the edition.
 pub async fn show(store: &dyn Store) -> Result<String, Refusal> {
     let (_, stored) = read_stored(store).await?;
-    Ok(format!("{EDITION_PREFIX}{}\n{}", stored.document.edit, stored.document.to_csv()))
+    Ok(format!("{EDITION_PREFIX}{}\n{}", stored.document.edition, stored.document.to_csv()))
 }
 
 /// Parses and validates a text. Errors: [`Refusal::Findings`].
@@ -103,11 +103,11 @@
 }
 
 /// Writes a text as the next edition. Returns its number, or the current number if nothing changes.
-pub async fn apply(store: &dyn Store, text: &str) -> Result<Edit, Refusal> {
+pub async fn apply(store: &dyn Store, text: &str) -> Result<Edition, Refusal> {
     let wanted = check(text)?;
     let (version, stored) = read_stored(store).await?;
-    let base = split_edition(text).0.unwrap_or(stored.document.edit);
-    if base != stored.document.edit {
+    let base = split_edition(text).0.unwrap_or(stored.document.edition);
+    if base != stored.document.edition {
         return Err(conflict(base, &stored.document, &wanted));
     }
     let changes = diff::between(&stored.document, &wanted);
@@ -119,10 +119,10 @@
 }
 
 fn add_revision(mut stored: Stored, wanted: &Document, changes: &[Change]) -> Stored {
-    let document = stored.document.next(wanted);
+    let document = stored.document.next_edition(wanted);
     let at_s = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
     let changes = changes.iter().map(ToString::to_string).collect();
-    stored.history.push(Revision { edition: document.edit, at_s, changes });
+    stored.history.push(Revision { edition: document.edition, at_s, changes });
     let excess = stored.history.len().saturating_sub(MAX_REVISIONS);
     stored.history.drain(..excess);
     stored.document = document;
@@ -133,10 +133,10 @@
 async fn write_edition(
     store: &dyn Store,
     version: Version,
-    base: Edit,
+    base: Edition,
     next: &Stored,
     wanted: &Document,
-) -> Result<Edit, Refusal> {
+) -> Result<Edition, Refusal> {
     let invalid_json = |e: serde_json::Error| Refusal::Unknown { reason: e.to_string() };
     let value: Value = serde_json::to_value(next).map_err(invalid_json)?;
     let expect = if version == 0 { Expect::Absent } else { Expect::At(version) };
@@ -146,7 +146,7 @@
         // reply was lost may have taken effect.
         let first = attempt == 0;
         match store.put(OBJECT_KIND, OBJECT_NAME, expect, &value).await {
-            Ok(_) => return Ok(next.document.edit),
+            Ok(_) => return Ok(next.document.edition),
             Err(StoreError::Unavailable { reason }) if first => {
                 return Err(Refusal::Unavailable { reason });
             }
@@ -155,8 +155,8 @@
         // A conflict may be with our own earlier write whose reply was lost. An edition of the same number and
         // content is that write, because editions are numbered by conditional updates.
         match read_stored(store).await {
-            Ok((_, found)) if found.document == next.document => return Ok(found.document.edit),
-            Ok((_, found)) if found.document.edit != base => {
+            Ok((_, found)) if found.document == next.document => return Ok(found.document.edition),
+            Ok((_, found)) if found.document.edition != base => {
                 return Err(conflict(base, &found.document, wanted));
             }
             // The object is still at the base edition: the write was lost, or may yet take effect. Retrying is
@@ -168,14 +168,17 @@
     Err(Refusal::Unknown { reason })
 }
 
-fn conflict(base: Edit, current: &Document, wanted: &Document) -> Refusal {
-    let changed = current.rows.values().filter(|r| r.changed > base);
-    let mut rows: Vec<String> =
-        changed.map(|r| format!("{} changed in edition {}", r.service, r.changed)).collect();
-    let removed = current.removed.iter().filter(|(_, edit)| **edit > base);
-    rows.extend(removed.map(|(service, edit)| format!("{service} removed in edition {edit}")));
+fn conflict(base: Edition, current: &Document, wanted: &Document) -> Refusal {
+    let changed = current.rows.values().filter(|r| r.changed_edition > base);
+    let mut rows: Vec<String> = changed
+        .map(|r| format!("{} changed in edition {}", r.service, r.changed_edition))
+        .collect();
+    let removed = current.removed.iter().filter(|(_, edition)| **edition > base);
+    rows.extend(
+        removed.map(|(service, edition)| format!("{service} removed in edition {edition}")),
+    );
     rows.extend(diff::between(current, wanted).iter().map(ToString::to_string));
-    Refusal::Conflict { base, current: current.edit, rows }
+    Refusal::Conflict { base, current: current.edition, rows }
 }
 
 async fn read_stored(store: &dyn Store) -> Result<(Version, Stored), Refusal> {
--- a/crates/tgw-peer/src/frame.rs
+++ b/crates/tgw-peer/src/frame.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use tgw_member::Record;
 use tgw_node::Message;
-use tgw_table::{Edit, document::Delta};
+use tgw_table::{Edition, document::Delta};
 use tgw_topology::{
     Vm,
     catalog::{ServiceUpdate, Version},
@@ -30,7 +30,7 @@
     /// Requests the changes since these versions.
     Ask {
         /// The edition of the table at the requesting VM.
-        edit: Edit,
+        edit: Edition,
         /// The version of the catalog at the requesting VM.
         world: Version,
     },
--- a/crates/tgw-query/tests/query.rs
+++ b/crates/tgw-query/tests/query.rs
@@ -90,7 +90,7 @@
 }
 
 fn row(weight: u32, concurrency: u32, queue: u32) -> Row {
-    Row { weight, concurrency, queue, ..Row::named("desk") }
+    Row { weight, concurrency, queue, ..Row::with_defaults("desk") }
 }
 
 const FAR_DEADLINE_MS: Millis = Millis::new(100_000);
--- a/crates/tgw-query/tests/simulation/mod.rs
+++ b/crates/tgw-query/tests/simulation/mod.rs
@@ -107,7 +107,7 @@
 
 impl Simulation {
     pub(crate) fn new(seed: u64) -> Self {
-        let row = Row { least_coverage_pct: 0.0, deadline_ms: 400, ..Row::named("desk") };
+        let row = Row { least_coverage_pct: 0.0, deadline_ms: 400, ..Row::with_defaults("desk") };
         let rows = [(row.service.clone(), row)].into_iter().collect();
         Self {
             seed,
@@ -121,7 +121,7 @@
             }),
             now: Millis::new(1),
             catalog: catalog(),
-            table: Document { edit: 1, rows, removed: BTreeMap::new() },
+            table: Document { edition: 1, rows, removed: BTreeMap::new() },
             rng: SmallRng::seed_from_u64(seed),
             requests: Vec::new(),
             past_outcomes: Vec::new(),
--- a/crates/tgw-serve/src/config.rs
+++ b/crates/tgw-serve/src/config.rs
@@ -141,7 +141,7 @@
         let start = self.clock.now();
         loop {
             let has = match kind {
-                TABLE => self.table.borrow().edit() > 0,
+                TABLE => self.table.borrow().edition() > 0,
                 SERVICE => self.catalog.borrow().version > 0,
                 _ => false,
             };
@@ -197,9 +197,9 @@
         }
         let table = self.table.borrow();
         if let Some(document) = table.document() {
-            tracing::info!(target: "tgw::table", edit = document.edit, source, "in force");
+            tracing::info!(target: "tgw::table", edit = document.edition, source, "in force");
             let _ = self.core.push(Work::Table(document.clone()));
-            let _ = self.peers.push(Outgoing::Edit(document.edit));
+            let _ = self.peers.push(Outgoing::Edit(document.edition));
         }
     }
 
@@ -281,13 +281,13 @@
             return;
         }
         self.asked.set(Some(now));
-        let (edit, world) = (self.table.borrow().edit(), self.catalog.borrow().version);
+        let (edit, world) = (self.table.borrow().edition(), self.catalog.borrow().version);
         let _ = self.peers.push(Outgoing::Parcel(vm, Parcel::Ask { edit, world }));
     }
 
     fn answer(&self, from: Vm, edit: u64, world: Version) {
         let table = self.table.borrow();
-        if let Some(document) = table.document().filter(|d| d.edit > edit) {
+        if let Some(document) = table.document().filter(|d| d.edition > edit) {
             let delta = document.delta(edit);
             let _ = self.peers.push(Outgoing::Parcel(from, Parcel::Table(delta)));
         }
--- a/crates/tgw-serve/src/queries.rs
+++ b/crates/tgw-serve/src/queries.rs
@@ -314,7 +314,7 @@
         };
         let gauges = &self.gauges;
         gauges.ready.store(self.ready(), Ordering::Relaxed);
-        set(&gauges.edit, self.node.table().map_or(0, |t| t.edit));
+        set(&gauges.edit, self.node.table().map_or(0, |t| t.edition));
         set(&gauges.running, self.node.entry().pending() as u64);
         set(&gauges.leafs, stats.leafs);
         set(&gauges.extra_entry, stats.extra);
@@ -356,7 +356,7 @@
             place: self.place.clone(),
             ready: self.ready(),
             draining: self.draining,
-            edit: self.node.table().map_or(0, |t| t.edit),
+            edit: self.node.table().map_or(0, |t| t.edition),
             world: self.node.catalog().version,
             vms: vms.collect(),
             domains: domains.collect(),
--- a/crates/tgw-standin/src/size.rs
+++ b/crates/tgw-standin/src/size.rs
@@ -148,11 +148,11 @@
             deadline_ms: size.deadline_ms,
             orders: size.orders,
             snapshot: Choice::Covered,
-            changed: 1,
-            ..Row::named(size.name)
+            changed_edition: 1,
+            ..Row::with_defaults(size.name)
         };
         let rows = self.services().iter().map(|s| (s.name.to_owned(), row(s))).collect();
-        Document { edit: 1, rows, removed: BTreeMap::new() }
+        Document { edition: 1, rows, removed: BTreeMap::new() }
     }
 
     /// Services and upstreams; addresses are unset until the upstreams are started.
--- a/crates/tgw-table/src/adopt.rs
+++ b/crates/tgw-table/src/adopt.rs
@@ -1,6 +1,6 @@
 //! Adoption of newer editions by a VM.
 
-use crate::{Document, Edit, document::Delta};
+use crate::{Document, Edition, document::Delta};
 use std::sync::Arc;
 
 /// The result of offering an edition.
@@ -27,8 +27,8 @@
     }
 
     /// The number of the edition in force; zero before the first one.
-    pub fn edit(&self) -> Edit {
-        self.document.as_ref().map_or(0, |d| d.edit)
+    pub fn edition(&self) -> Edition {
+        self.document.as_ref().map_or(0, |d| d.edition)
     }
 
     /// Offers a whole document, from the platform or a peer.
@@ -36,7 +36,7 @@
         // A slow platform replica, a replayed watch or a peer from the other side of a partition can
         // deliver an older edition after a newer one, which would revert an accepted edit. Editions
         // are numbered by conditional updates of one object, so comparing numbers is sufficient.
-        if document.edit <= self.edit() {
+        if document.edition <= self.edition() {
             return Outcome::Stale;
         }
         self.document = Some(Arc::new(document));
@@ -45,7 +45,7 @@
 
     /// Offers a delta from a peer.
     pub fn offer_delta(&mut self, delta: &Delta) -> Outcome {
-        if delta.edit <= self.edit() {
+        if delta.edition <= self.edition() {
             return Outcome::Stale;
         }
         let base = self.document.as_deref().cloned().unwrap_or_default();
--- a/crates/tgw-table/src/document.rs
+++ b/crates/tgw-table/src/document.rs
@@ -8,31 +8,33 @@
 pub const MAX_DOCUMENT_BYTES: usize = 1_000_000;
 
 /// The number of an accepted edition; each accepted edit raises it by one.
-pub type Edit = u64;
+pub type Edition = u64;
 
 /// One edition of the table.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Document {
     /// The number of the edition.
-    pub edit: Edit,
+    #[serde(rename = "edit")]
+    pub edition: Edition,
     /// Rows by service name.
     pub rows: BTreeMap<String, Row>,
     /// Services whose rows were removed, with the edition that removed them.
     #[serde(default)]
-    pub removed: BTreeMap<String, Edit>,
+    pub removed: BTreeMap<String, Edition>,
 }
 
 /// The difference that updates an older edition to a newer one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Delta {
-    /// The lowest edition that it applies to; it also applies to later ones below `edit`.
-    pub since: Edit,
+    /// The lowest edition that it applies to; it also applies to later ones below `edition`.
+    pub since: Edition,
     /// The resulting edition.
-    pub edit: Edit,
+    #[serde(rename = "edit")]
+    pub edition: Edition,
     /// Rows that were added or changed.
     pub rows: Vec<Row>,
     /// Services whose rows were removed, with the edition that removed them.
-    pub removed: BTreeMap<String, Edit>,
+    pub removed: BTreeMap<String, Edition>,
 }
 
 impl Document {
@@ -53,7 +55,7 @@
                 Err(e) => findings.push(csv_error(&e)),
             }
         }
-        let document = Self { edit: 0, rows, removed: BTreeMap::new() };
+        let document = Self { edition: 0, rows, removed: BTreeMap::new() };
         let bytes = serde_json::to_vec(&document).map_or(usize::MAX, |v| v.len());
         if bytes > MAX_DOCUMENT_BYTES {
             let kind = Kind::Size { bytes, limit: MAX_DOCUMENT_BYTES };
@@ -73,43 +75,44 @@
     }
 
     /// The edition that follows this one when operators apply `wanted`.
-    pub fn next(&self, wanted: &Self) -> Self {
-        let edit = self.edit + 1;
+    pub fn next_edition(&self, wanted: &Self) -> Self {
+        let edition = self.edition + 1;
         let mut rows = wanted.rows.clone();
         for row in rows.values_mut() {
             let old = self.rows.get(&row.service);
-            row.changed = old.filter(|o| o.has_same_fields(row)).map_or(edit, |o| o.changed);
+            row.changed_edition =
+                old.filter(|o| o.has_same_fields(row)).map_or(edition, |o| o.changed_edition);
         }
         let mut removed = self.removed.clone();
         removed.retain(|service, _| !rows.contains_key(service));
         for service in self.rows.keys().filter(|s| !rows.contains_key(*s)) {
-            removed.insert(service.clone(), edit);
+            removed.insert(service.clone(), edition);
         }
-        Self { edit, rows, removed }
+        Self { edition, rows, removed }
     }
 
     /// The delta that updates a VM from edition `since` to this edition.
-    pub fn delta(&self, since: Edit) -> Delta {
-        let rows = self.rows.values().filter(|r| r.changed > since).cloned().collect();
+    pub fn delta(&self, since: Edition) -> Delta {
+        let rows = self.rows.values().filter(|r| r.changed_edition > since).cloned().collect();
         let removed = self
             .removed
             .iter()
             .filter(|(_, e)| **e > since)
             .map(|(s, e)| (s.clone(), *e))
             .collect();
-        Delta { since, edit: self.edit, rows, removed }
+        Delta { since, edition: self.edition, rows, removed }
     }
 
     /// Applies a delta; `None` if it starts above this edition or does not end above it.
     pub fn apply(&self, delta: &Delta) -> Option<Self> {
-        if delta.since > self.edit || delta.edit <= self.edit {
+        if delta.since > self.edition || delta.edition <= self.edition {
             return None;
         }
         let mut next = self.clone();
-        next.edit = delta.edit;
-        for (service, edit) in &delta.removed {
+        next.edition = delta.edition;
+        for (service, edition) in &delta.removed {
             next.rows.remove(service);
-            next.removed.insert(service.clone(), *edit);
+            next.removed.insert(service.clone(), *edition);
         }
         for row in &delta.rows {
             next.removed.remove(&row.service);
--- a/crates/tgw-table/src/lib.rs
+++ b/crates/tgw-table/src/lib.rs
@@ -12,6 +12,6 @@
 /// The row of one service.
 pub mod row;
 
-pub use document::{Document, Edit};
+pub use document::{Document, Edition};
 pub use finding::Finding;
 pub use row::Row;
--- a/crates/tgw-table/src/row.rs
+++ b/crates/tgw-table/src/row.rs
@@ -58,13 +58,13 @@
     /// Whether orders are accepted.
     pub orders: bool,
     /// The edition in which the row last changed.
-    #[serde(default)]
-    pub changed: u64,
+    #[serde(default, rename = "changed")]
+    pub changed_edition: u64,
 }
 
 impl Row {
     /// A row with default values for `service`.
-    pub fn named(service: &str) -> Self {
+    pub fn with_defaults(service: &str) -> Self {
         Self {
             service: service.into(),
             weight: 10,
@@ -77,7 +77,7 @@
             attempts: 3,
             snapshot: Choice::Covered,
             orders: false,
-            changed: 0,
+            changed_edition: 0,
         }
     }
 
@@ -132,7 +132,7 @@
             attempts: parser.number("attempts", get("attempts"), 1.0, 10.0) as u8,
             snapshot: parser.choice(get("snapshot")),
             orders: parser.flag("orders", get("orders")),
-            changed: 0,
+            changed_edition: 0,
         }
     }
 }
--- a/crates/tgw-table/tests/table.rs
+++ b/crates/tgw-table/tests/table.rs
@@ -24,10 +24,11 @@
 
 /// Four consecutive editions, each with one change.
 fn editions() -> Vec<Document> {
-    let first = Document::default().next(&document(CSV));
-    let second = first.next(&document(&CSV.replace("800", "900")));
-    let third = second.next(&document(CSV.lines().take(2).collect::<Vec<_>>().join("\n").as_str()));
-    let fourth = third.next(&document(CSV));
+    let first = Document::default().next_edition(&document(CSV));
+    let second = first.next_edition(&document(&CSV.replace("800", "900")));
+    let third =
+        second.next_edition(&document(CSV.lines().take(2).collect::<Vec<_>>().join("\n").as_str()));
+    let fourth = third.next_edition(&document(CSV));
     vec![first, second, third, fourth]
 }
 
@@ -75,9 +76,9 @@
     let editions = editions();
     let newest = editions.last().expect("four editions");
     for old in &editions[..3] {
-        let applied = old.apply(&newest.delta(old.edit)).expect("the delta applies");
-        assert_eq!(applied.rows, newest.rows, "from edition {}", old.edit);
-        assert_eq!(applied.edit, newest.edit);
+        let applied = old.apply(&newest.delta(old.edition)).expect("the delta applies");
+        assert_eq!(applied.rows, newest.rows, "from edition {}", old.edition);
+        assert_eq!(applied.edition, newest.edition);
     }
     assert!(
         editions[0].apply(&newest.delta(2)).is_none(),
@@ -94,11 +95,11 @@
         let mut state = State::default();
         let mut highest = 0;
         for index in order {
-            let before = state.edit();
+            let before = state.edition();
             let outcome = state.offer(editions[index].clone());
-            assert_eq!(outcome == Outcome::Adopted, editions[index].edit > before);
-            highest = highest.max(editions[index].edit);
-            assert_eq!(state.edit(), highest);
+            assert_eq!(outcome == Outcome::Adopted, editions[index].edition > before);
+            highest = highest.max(editions[index].edition);
+            assert_eq!(state.edition(), highest);
         }
     }
 }
@@ -112,10 +113,10 @@
     for order in permutations(&[0, 1, 2, 3]) {
         let mut state = State::default();
         for index in order {
-            let since = editions[index].edit - 1;
-            let before = state.edit();
+            let since = editions[index].edition - 1;
+            let before = state.edition();
             let outcome = state.offer_delta(&newest.delta(since));
-            assert!(state.edit() >= before);
+            assert!(state.edition() >= before);
             assert_eq!(outcome == Outcome::Gap, before < since);
         }
         assert_eq!(state.document().map(|d| d.rows.clone()), Some(newest.rows.clone()));
