--- a/crates/tgw-bench/src/members.rs
+++ b/crates/tgw-bench/src/members.rs
@@ -223,7 +223,7 @@
             let directory = self.directory(index);
             let alive = directory.members.iter().filter(|(_, m)| m.state == State::Alive);
             let seen: BTreeSet<Vm> = alive.map(|(vm, _)| *vm).collect();
-            seen == up && directory.cut.is_empty()
+            seen == up && directory.unreachable_domains.is_empty()
         })
     }
 
--- a/crates/tgw-bench/src/sim.rs
+++ b/crates/tgw-bench/src/sim.rs
@@ -287,11 +287,12 @@
                 place: state.place,
                 addr,
                 state: if state.leaving { State::Leaving } else { State::Alive },
-                blind: false,
+                platform_unreachable: false,
             };
             directory.members.insert(state.vm, member);
         }
-        directory.cut = self.cut.iter().filter(|c| c.0 == here).map(|c| c.1).collect();
+        directory.unreachable_domains =
+            self.cut.iter().filter(|c| c.0 == here).map(|c| c.1).collect();
         directory
     }
 
--- a/crates/tgw-bench/src/slopes.rs
+++ b/crates/tgw-bench/src/slopes.rs
@@ -15,7 +15,7 @@
     Message,
     message::{Ask, Told},
 };
-use tgw_owner::{Directory, Map, Member, State};
+use tgw_owner::{Assignment, Directory, Member, State};
 use tgw_standin::size::{Spread, User};
 use tgw_topology::{
     Catalog, Group, Layout, Place, Query, Service, Shard, Snapshot, Upstream, Vm,
@@ -113,8 +113,14 @@
     let place = Place { region: Region(0), domain: Domain(0) };
     let member = |index: usize| {
         let name = format!("vm-{index}");
-        let entry =
-            Member { name, incarnation: 1, place, addr: addr(), state: State::Alive, blind: false };
+        let entry = Member {
+            name,
+            incarnation: 1,
+            place,
+            addr: addr(),
+            state: State::Alive,
+            platform_unreachable: false,
+        };
         (Vm::from_name(&format!("vm-{index}")), entry)
     };
     Directory { members: (0..vms).map(member).collect(), ..Directory::default() }
@@ -124,12 +130,12 @@
 fn ownership() -> Vec<Slope> {
     let place = Place { region: Region(0), domain: Domain(0) };
     let value = |(groups, vms): (u16, usize)| {
-        let map = Map::new(Arc::new(directory(vms)));
+        let assignment = Assignment::new(Arc::new(directory(vms)));
         let start = Instant::now();
         let mut owned: BTreeMap<Vm, u32> = BTreeMap::new();
         for instance in 0..groups {
             let group = Group { service: Service(instance / 110), instance, domain: Domain(0) };
-            if let Some(owner) = map.owners(group, place).first() {
+            if let Some(owner) = assignment.owners(group, place).first() {
                 *owned.entry(*owner).or_default() += 1;
             }
         }
--- a/crates/tgw-bench/tests/members.rs
+++ b/crates/tgw-bench/tests/members.rs
@@ -106,8 +106,11 @@
     let mut world = settled(domains, each, seed);
     world.isolate(0, true);
     world.run(SECOND.scale(20.0));
-    let cut = world.directory(each).cut;
-    assert!(cut.iter().any(|d| d.0 == 0), "the others see the domain as cut off: {cut:?}");
+    let unreachable = world.directory(each).unreachable_domains;
+    assert!(
+        unreachable.iter().any(|d| d.0 == 0),
+        "the others see the domain as cut off: {unreachable:?}"
+    );
     world.isolate(0, false);
     world.until(SECOND.scale(10.0), World::converged).expect("it meets again");
     assert_eq!(world.false_removals, 0);
--- a/crates/tgw-member/src/cross_domain.rs
+++ b/crates/tgw-member/src/cross_domain.rs
@@ -34,8 +34,10 @@
     fn is_watched_by_other_domain(&self) -> bool {
         let own = self.options.place;
         let unreachable = self.relay.unreachable();
-        let connected =
-            self.records.values().filter(|r| r.member.state.can_own() && !r.member.blind);
+        let connected = self
+            .records
+            .values()
+            .filter(|r| r.member.state.can_own() && !r.member.platform_unreachable);
         let mut places = connected.map(|r| r.member.place);
         places.any(|p| {
             p.region == own.region && p.domain < own.domain && !unreachable.contains(&p.domain)
@@ -45,7 +47,7 @@
     /// The number of VMs of this domain that cannot reach the platform.
     pub fn blind_near(&self) -> usize {
         let local = self.records.values().filter(|r| r.member.place.domain == self.own_domain());
-        local.filter(|r| r.member.state.can_own() && r.member.blind).count()
+        local.filter(|r| r.member.state.can_own() && r.member.platform_unreachable).count()
     }
 
     /// Whether this VM is the first relay of its domain, which summarizes the editions in force in the
@@ -63,8 +65,8 @@
         };
         // The platform may reject some VMs and serve others. If it rejected the relays, their whole
         // domain would learn of changes late, although its other VMs reach the platform.
-        let connected = live().filter(|r| !r.member.blind);
-        let disconnected = live().filter(|r| r.member.blind);
+        let connected = live().filter(|r| !r.member.platform_unreachable);
+        let disconnected = live().filter(|r| r.member.platform_unreachable);
         connected.chain(disconnected).map(|r| r.vm).take(RELAYS_PER_DOMAIN).collect()
     }
 
--- a/crates/tgw-member/src/member.rs
+++ b/crates/tgw-member/src/member.rs
@@ -207,7 +207,7 @@
     /// All known VMs and the unreachable domains, as this VM sees them now.
     pub fn directory(&self) -> Directory {
         let members = self.records.iter().map(|(vm, r)| (*vm, r.member.clone())).collect();
-        Directory { members, cut: self.relay.unreachable() }
+        Directory { members, unreachable_domains: self.relay.unreachable() }
     }
 
     /// Since when a VM is considered dead or is leaving.
@@ -266,8 +266,8 @@
         let state = if self.leaving { State::Leaving } else { State::Alive };
         let Options { name, place, addr, vm, .. } = &self.options;
         let (name, incarnation) = (name.clone(), self.incarnation);
-        let (place, addr, blind) = (*place, *addr, self.platform_unreachable);
-        let member = Entry { name, incarnation, place, addr, state, blind };
+        let (place, addr, platform_unreachable) = (*place, *addr, self.platform_unreachable);
+        let member = Entry { name, incarnation, place, addr, state, platform_unreachable };
         Record { vm: *vm, member }
     }
 
--- a/crates/tgw-node/src/node.rs
+++ b/crates/tgw-node/src/node.rs
@@ -15,7 +15,7 @@
     leaf::{Held, Outcome, Work},
     owner,
 };
-use tgw_owner::{Directory, Map};
+use tgw_owner::{Assignment, Directory};
 use tgw_query::{Action, Entry, Event, Owners, Stats, View};
 use tgw_table::Document;
 use tgw_topology::{Catalog, Group, Place, Upstream, Vm, catalog::Index, place::Latency};
@@ -33,18 +33,18 @@
 
 /// Owners of groups as the query fan-out looks them up.
 pub(crate) struct GroupOwners<'a> {
-    pub(crate) map: &'a Map,
+    pub(crate) assignment: &'a Assignment,
     pub(crate) index: &'a Index,
 }
 
 impl Owners for GroupOwners<'_> {
     fn owners(&self, group: Group) -> SmallVec<[Vm; 2]> {
         let place = self.index.get(group).map(|m| m.place);
-        place.map(|place| self.map.owners(group, place)).unwrap_or_default()
+        place.map(|place| self.assignment.owners(group, place)).unwrap_or_default()
     }
 
     fn place(&self, vm: Vm) -> Option<Place> {
-        self.map.directory().members.get(&vm).map(|m| m.place)
+        self.assignment.directory().members.get(&vm).map(|m| m.place)
     }
 }
 
@@ -58,7 +58,7 @@
     pub(crate) orders: Orders,
     pub(crate) owner: Owner,
     pub(crate) groups: Groups,
-    pub(crate) map: Map,
+    pub(crate) assignment: Assignment,
     pub(crate) catalog: Arc<Catalog>,
     pub(crate) index: Index,
     pub(crate) table: Option<Arc<Document>>,
@@ -87,7 +87,7 @@
             entry: Entry::new(options.entry),
             owner: Owner::new(options.policy),
             groups: Groups::default(),
-            map: Map::new(Arc::default()),
+            assignment: Assignment::new(Arc::default()),
             catalog: Arc::default(),
             index: Index::default(),
             table: None,
@@ -124,7 +124,7 @@
 
     /// The directory in use.
     pub fn directory(&self) -> &Arc<Directory> {
-        self.map.directory()
+        self.assignment.directory()
     }
 
     /// Whether groups have owners, as the VM has learned of another VM or assumes that there is none.
@@ -134,7 +134,10 @@
 
     /// The owner of a group in this VM's view of membership.
     pub fn owner_of(&self, group: Group) -> Option<Vm> {
-        GroupOwners { map: &self.map, index: &self.index }.owners(group).first().copied()
+        GroupOwners { assignment: &self.assignment, index: &self.index }
+            .owners(group)
+            .first()
+            .copied()
     }
 
     /// The groups that this VM owns.
@@ -286,7 +289,7 @@
 
     /// Calls `work` with the query fan-out and the view it decides on.
     pub(crate) fn with_view<T>(&mut self, work: impl FnOnce(&mut Entry, &View<'_>) -> T) -> T {
-        let owners = GroupOwners { map: &self.map, index: &self.index };
+        let owners = GroupOwners { assignment: &self.assignment, index: &self.index };
         let view = View {
             catalog: &self.catalog,
             index: &self.index,
@@ -374,7 +377,7 @@
     pub(crate) fn tick(&mut self, now: Millis, out: &mut Vec<Output>) {
         self.handle_entry_event(now, Event::Tick, out);
         self.handle_owner_event(now, owner::Event::Tick, out);
-        let effects = self.orders.tick(now, &self.map);
+        let effects = self.orders.tick(now, &self.assignment);
         self.apply_order_effects(now, effects, out);
         if now - self.groups_checked_at >= GROUP_CHECK_INTERVAL_MS {
             self.groups_checked_at = now;
--- a/crates/tgw-node/src/order_requests.rs
+++ b/crates/tgw-node/src/order_requests.rs
@@ -28,7 +28,7 @@
         let deadline = row.map_or(Millis::ZERO, tgw_table::Row::deadline);
         let deadline = now + within.map_or(deadline, |w| w.min(deadline));
         let order = orders::NewOrder { token, key, key_age_s, deadline, body };
-        let effects = self.orders.accept(now, order, &self.map);
+        let effects = self.orders.accept(now, order, &self.assignment);
         self.apply_order_effects(now, effects, out);
     }
 
--- a/crates/tgw-node/src/orders.rs
+++ b/crates/tgw-node/src/orders.rs
@@ -7,7 +7,7 @@
 use tgw_order::{
     Action, Event, Key, Outcome, RunOutcome, Stats, Waiter, Worker, key::BUCKET_COUNT,
 };
-use tgw_owner::Map;
+use tgw_owner::Assignment;
 use tgw_query::step::Token;
 use tgw_topology::{Group, Layout, Query, Shard, Snapshot, Vm};
 
@@ -100,18 +100,23 @@
     }
 
     /// Accepts a caller's order and forwards it to the owner of its bucket.
-    pub(crate) fn accept(&mut self, now: Millis, order: NewOrder, map: &Map) -> Vec<Effect> {
+    pub(crate) fn accept(
+        &mut self,
+        now: Millis,
+        order: NewOrder,
+        assignment: &Assignment,
+    ) -> Vec<Effect> {
         self.last_number += 1;
         let number = self.last_number;
         self.accepted.insert(number, Accepted { order, claims_owner: None });
-        self.forward(now, number, map)
+        self.forward(now, number, assignment)
     }
 
     /// Forwards an order to the owner of its bucket. Forwarding it to a second VM is safe, as the store
     /// accepts only one claim.
-    fn forward(&mut self, now: Millis, number: u64, map: &Map) -> Vec<Effect> {
+    fn forward(&mut self, now: Millis, number: u64, assignment: &Assignment) -> Vec<Effect> {
         let Some(accepted) = self.accepted.get_mut(&number) else { return Vec::new() };
-        let owner = map.clerk(accepted.order.key.bucket()).unwrap_or(self.me);
+        let owner = assignment.claims_owner(accepted.order.key.bucket()).unwrap_or(self.me);
         accepted.claims_owner = Some(owner);
         let NewOrder { key, key_age_s, deadline, body, .. } = &accepted.order;
         let remaining = *deadline - now;
@@ -239,9 +244,9 @@
     }
 
     /// Updates which buckets this VM owns, and since when, after a change of membership.
-    pub(crate) fn update_buckets(&mut self, now: Millis, map: &Map) {
+    pub(crate) fn update_buckets(&mut self, now: Millis, assignment: &Assignment) {
         for bucket in 0..BUCKET_COUNT {
-            if map.clerk(bucket) == Some(self.me) {
+            if assignment.claims_owner(bucket) == Some(self.me) {
                 self.bucket_owned_since.entry(bucket).or_insert(now);
             } else {
                 self.bucket_owned_since.remove(&bucket);
@@ -254,7 +259,7 @@
         self.bucket_owned_since.values_mut().for_each(|since| *since = now);
     }
 
-    pub(crate) fn tick(&mut self, now: Millis, map: &Map) -> Vec<Effect> {
+    pub(crate) fn tick(&mut self, now: Millis, assignment: &Assignment) -> Vec<Effect> {
         let mut effects = self.run_worker(now, Event::Tick);
         let late: Vec<u64> = self
             .sent
@@ -275,7 +280,7 @@
             .collect();
         for (number, timed_out) in due {
             if !timed_out {
-                effects.extend(self.forward(now, number, map));
+                effects.extend(self.forward(now, number, assignment));
             } else if let Some(accepted) = self.accepted.remove(&number) {
                 // No outcome arrived from the VM that claims the order: the order may have run.
                 effects.push(Effect::Answer(accepted.order.token, Outcome::Unknown));
--- a/crates/tgw-node/src/ownership.rs
+++ b/crates/tgw-node/src/ownership.rs
@@ -36,14 +36,14 @@
         // Only VMs that may own the upstream's group send it requests: those of its domain or, if the
         // domain has no VM, the owner and stand-in chosen elsewhere.
         let mut recipients: BTreeSet<Vm> = self
-            .map
+            .assignment
             .directory()
             .owners()
             .filter(|(_, m)| Some(m.place.domain) == domain)
             .map(|o| o.0)
             .collect();
         if let Some(node) = self.catalog.upstreams.get(&upstream) {
-            recipients.extend(self.map.owners(node.group(), node.place));
+            recipients.extend(self.assignment.owners(node.group(), node.place));
         }
         for vm in recipients.into_iter().filter(|vm| *vm != self.me) {
             out.push(Output::Tell(vm, Message::Leaving(upstream)));
@@ -58,7 +58,7 @@
     ) {
         self.index = Index::new(&catalog);
         self.catalog = catalog;
-        self.map.set(self.map.directory().clone());
+        self.assignment.set(self.assignment.directory().clone());
         let leaving: Vec<Upstream> =
             self.catalog.upstreams.values().filter(|u| u.leaving).map(|u| u.id).collect();
         for upstream in leaving {
@@ -75,13 +75,13 @@
         out: &mut Vec<Output>,
     ) {
         let gone: Vec<Vm> = {
-            let old = self.map.directory();
+            let old = self.assignment.directory();
             let usable: BTreeSet<Vm> = directory.owners().map(|(vm, _)| vm).collect();
             old.owners().map(|(vm, _)| vm).filter(|vm| !usable.contains(vm)).collect()
         };
         self.joined |= directory.owners().any(|(vm, _)| vm != self.me);
-        self.map.set(directory);
-        self.orders.update_buckets(now, &self.map);
+        self.assignment.set(directory);
+        self.orders.update_buckets(now, &self.assignment);
         self.reconcile_groups(now, "membership changed", out);
         for vm in gone {
             // A leaving VM finishes the requests it received; a dead or unreachable one does not.
@@ -93,11 +93,10 @@
 
     /// Whether a VM is leaving and still reachable, so that it finishes its requests.
     pub(crate) fn still_finishes(&self, vm: Vm) -> bool {
-        let directory = self.map.directory();
-        directory
-            .members
-            .get(&vm)
-            .is_some_and(|m| m.state == State::Leaving && !directory.cut.contains(&m.place.domain))
+        let directory = self.assignment.directory();
+        directory.members.get(&vm).is_some_and(|m| {
+            m.state == State::Leaving && !directory.unreachable_domains.contains(&m.place.domain)
+        })
     }
 
     /// Handles the end of a pause. The groups owned before may have new owners, which use all slots by
@@ -123,7 +122,7 @@
             return;
         }
         let places: Vec<(Group, Place)> = self.index.iter().map(|(g, m)| (g, m.place)).collect();
-        let directory = self.map.directory();
+        let directory = self.assignment.directory();
         let only_vm = directory.owners().count() <= 1;
         let domains_with_vms: BTreeSet<Domain> =
             directory.owners().map(|(_, m)| m.place.domain).collect();
@@ -138,7 +137,7 @@
         let places: Vec<(Group, Place)> =
             places.into_iter().filter(|(group, _)| is_candidate(*group)).collect();
         for (group, place) in places {
-            let owner = self.map.owners(group, place).first().copied();
+            let owner = self.assignment.owners(group, place).first().copied();
             let effects = self.groups.reconcile(now, group, owner, self.me, only_vm);
             self.apply_group_effects(now, group, effects, why, out);
         }
--- a/crates/tgw-owner/src/map.rs
+++ b/crates/tgw-owner/src/assignment.rs
@@ -13,13 +13,13 @@
 
 /// The owners of groups as one VM sees them.
 #[derive(Clone, Debug)]
-pub struct Map {
+pub struct Assignment {
     directory: Arc<Directory>,
     /// Owner and stand-in by group; cleared when the directory changes.
     cache: RefCell<BTreeMap<Group, SmallVec<[Vm; 2]>>>,
 }
 
-impl Map {
+impl Assignment {
     /// Assigns groups to the VMs of `directory`.
     pub fn new(directory: Arc<Directory>) -> Self {
         Self { directory, cache: RefCell::default() }
@@ -49,7 +49,7 @@
 
     /// The VM that claims the orders of a bucket. Distance is ignored, since all VMs must select the
     /// same VM.
-    pub fn clerk(&self, bucket: u64) -> Option<Vm> {
+    pub fn claims_owner(&self, bucket: u64) -> Option<Vm> {
         let score = |vm: Vm| xxh3_64_with_seed(&bucket.to_le_bytes(), vm.0);
         self.directory.owners().map(|(vm, _)| vm).min_by_key(|vm| score(*vm))
     }
--- a/crates/tgw-owner/src/directory.rs
+++ b/crates/tgw-owner/src/directory.rs
@@ -51,8 +51,8 @@
     pub state: State,
     /// The VM reports that it cannot reach the platform. Defaults to false for recorded traces that
     /// lack it.
-    #[serde(default)]
-    pub blind: bool,
+    #[serde(default, rename = "blind")]
+    pub platform_unreachable: bool,
 }
 
 /// All known VMs.
@@ -61,13 +61,15 @@
     /// The VMs by identity.
     pub members: BTreeMap<Vm, Member>,
     /// Failure domains that cannot be reached from this VM.
-    pub cut: BTreeSet<Domain>,
+    #[serde(rename = "cut")]
+    pub unreachable_domains: BTreeSet<Domain>,
 }
 
 impl Directory {
     /// The VMs that may own groups, in the domains that can be reached.
     pub fn owners(&self) -> impl Iterator<Item = (Vm, &Member)> {
-        let usable = |m: &&Member| m.state.can_own() && !self.cut.contains(&m.place.domain);
+        let usable =
+            |m: &&Member| m.state.can_own() && !self.unreachable_domains.contains(&m.place.domain);
         self.members.iter().map(|(vm, m)| (*vm, m)).filter(move |(_, m)| usable(m))
     }
 
--- a/crates/tgw-owner/src/lib.rs
+++ b/crates/tgw-owner/src/lib.rs
@@ -5,10 +5,10 @@
 //! others: neighbours take over the groups of a domain whose only VM fails and hand them back when
 //! it returns.
 
+/// Owners of groups by rendezvous hashing.
+mod assignment;
 /// The known VMs and their states.
 pub mod directory;
-/// Owners of groups by rendezvous hashing.
-mod map;
 
+pub use assignment::{Assignment, Score};
 pub use directory::{Directory, Member, State};
-pub use map::{Map, Score};
--- a/crates/tgw-serve/src/config.rs
+++ b/crates/tgw-serve/src/config.rs
@@ -240,7 +240,7 @@
         }
     }
 
-    /// Carries out a call of the store for the clerk.
+    /// Carries out a call of the store for the claims worker.
     async fn claim(self: Rc<Self>, action: Action) {
         let event = match action {
             Action::Put(object, version, ledger) => {
@@ -267,7 +267,7 @@
             }
             Action::Run(..) | Action::Tell(..) => return,
         };
-        // The clerk waits for this answer; the number of its calls under way is bounded.
+        // The claims worker waits for this answer; the number of its calls under way is bounded.
         let mut work = Work::Store(event);
         while let Err(back) = self.core.push(work) {
             work = back;
--- a/crates/tgw-serve/src/queries.rs
+++ b/crates/tgw-serve/src/queries.rs
@@ -341,11 +341,11 @@
             place: m.place.to_string(),
             state: m.state.to_string(),
             addr: m.addr.to_string(),
-            reachable: !directory.cut.contains(&m.place.domain),
+            reachable: !directory.unreachable_domains.contains(&m.place.domain),
         });
         let domains = self.forces.iter().map(|(domain, force)| DomainLine {
             domain: domain.0,
-            reachable: !directory.cut.contains(domain),
+            reachable: !directory.unreachable_domains.contains(domain),
             edit: force.edit,
             behind: force.behind,
             example: force.example.map(|vm| self.vm_name(vm)),
--- a/crates/tgw-serve/src/work.rs
+++ b/crates/tgw-serve/src/work.rs
@@ -88,7 +88,7 @@
     Table(tgw_table::document::Delta),
     /// What changed in the catalog, from a VM.
     World { version: u64, parts: Vec<tgw_topology::catalog::ServiceUpdate> },
-    /// A call of the store for the clerk.
+    /// A call of the store for the claims worker.
     Store(tgw_order::Action),
     /// Whether this VM watches the platform for its domain.
     Relay(bool),
