--- a/crates/tgw-bench/src/leaving/acting.rs
+++ b/crates/tgw-bench/src/leaving/acting.rs
@@ -86,7 +86,7 @@
             return;
         }
         let seat = &mut self.vms[vm];
-        if seat.member.blind_near() >= LOST_NEAR {
+        if seat.member.platform_unreachable_count() >= LOST_NEAR {
             seat.known.note(|known| known.lost(self.now));
         }
         seat.follow.listed(version);
@@ -121,11 +121,11 @@
         let Some(Call { step, began, .. }) = self.done(vm, call) else { return };
         self.waiting.retain(|w| w.1 != call);
         let seat = &mut self.vms[vm];
-        let blind_near = seat.member.blind_near();
+        let unreachable_count = seat.member.platform_unreachable_count();
         match step {
             Step::List => {
                 seat.known.note(|known| known.lost(self.now));
-                seat.follow.failed(self.now, blind_near);
+                seat.follow.failed(self.now, unreachable_count);
                 seat.sight.note(seat.known.way(), seat.follow.is_blind());
             }
             Step::Watch { wait, .. } => {
@@ -155,7 +155,7 @@
             return;
         }
         let seat = &mut self.vms[vm];
-        let relay = Some(seat.member.follows());
+        let relay = Some(seat.member.watches_platform());
         if relay == seat.relay {
             return;
         }
--- a/crates/tgw-bench/src/leaving/peers.rs
+++ b/crates/tgw-bench/src/leaving/peers.rs
@@ -17,7 +17,7 @@
 impl World {
     pub(super) fn member(&mut self, vm: usize, event: Event) {
         let mut out = Vec::new();
-        self.vms[vm].member.on(self.now, event, &mut out);
+        self.vms[vm].member.handle(self.now, event, &mut out);
         for action in out {
             match action {
                 Action::Send(to, packet) => {
@@ -27,16 +27,16 @@
                         self.at(self.now + way, Due::Packet { to, from, packet });
                     }
                 }
-                Action::Sync(to, records) => {
+                Action::SendRecords(to, records) => {
                     if let Some((to, way)) = self.way(vm, to) {
                         self.at(self.now + way + way + way, Due::Records { to, records });
                     }
                 }
-                Action::Newer { addr, world, evacuations, .. } => {
-                    self.ask(vm, addr, world.max(evacuations));
+                Action::PeerNewer { addr, catalog_version, evacuations_version, .. } => {
+                    self.ask(vm, addr, catalog_version.max(evacuations_version));
                 }
                 Action::Paused(gap) => self.vms[vm].known.note(|known| known.paused(gap)),
-                Action::Changed => {}
+                Action::DirectoryChanged => {}
             }
         }
     }
--- a/crates/tgw-bench/src/leaving/vm.rs
+++ b/crates/tgw-bench/src/leaving/vm.rs
@@ -45,9 +45,9 @@
     pub(crate) fn told(&mut self) -> Vec<Event> {
         let version = self.known.version();
         let news = match self.known {
-            Known::Upstreams(_) => Event::World(version),
-            Known::Evacuations(_) => Event::Evacuations(version),
+            Known::Upstreams(_) => Event::CatalogVersion(version),
+            Known::Evacuations(_) => Event::EvacuationsVersion(version),
         };
-        vec![news, Event::Blind(self.sight.is_blind())]
+        vec![news, Event::PlatformUnreachable(self.sight.is_blind())]
     }
 }
--- a/crates/tgw-bench/src/leaving/world.rs
+++ b/crates/tgw-bench/src/leaving/world.rs
@@ -165,7 +165,7 @@
             place,
             addr: address(number),
             seeds: (0..domains.min(vms)).map(address).collect(),
-            seed: self.rng.random(),
+            rng_seed: self.rng.random(),
         };
         Vm {
             addr: address(number),
--- a/crates/tgw-bench/src/members.rs
+++ b/crates/tgw-bench/src/members.rs
@@ -131,7 +131,7 @@
             place: seat.place,
             addr: seat.addr,
             seeds,
-            seed: index as u64,
+            rng_seed: index as u64,
         }));
         let life = seat.life;
         let jitter = Millis::from_micros(self.rng.random_range(0..TICK.as_micros()));
@@ -169,19 +169,19 @@
     }
 
     /// A VM cannot reach the platform, or can again.
-    pub fn blind(&mut self, index: usize, blind: bool) {
-        self.give(index, Event::Blind(blind));
+    pub fn blind(&mut self, index: usize, unreachable: bool) {
+        self.give(index, Event::PlatformUnreachable(unreachable));
     }
 
     /// The VMs that follow the platform, as each sees itself.
     pub fn followers(&self) -> Vec<usize> {
-        let follows = |seat: &Seat| seat.member.as_ref().is_some_and(Member::follows);
+        let follows = |seat: &Seat| seat.member.as_ref().is_some_and(Member::watches_platform);
         self.seats.iter().enumerate().filter(|(_, s)| follows(s)).map(|(index, _)| index).collect()
     }
 
     /// This edition of the table is in force at a VM now.
-    pub fn edit(&mut self, index: usize, edit: u64) {
-        self.give(index, Event::Edit(edit));
+    pub fn edit(&mut self, index: usize, edition: u64) {
+        self.give(index, Event::Edition(edition));
     }
 
     /// Cuts a domain off from all others, or joins it again.
@@ -206,8 +206,12 @@
 
     /// What the domains have in force, as one VM knows.
     pub fn in_force(&self, index: usize) -> BTreeMap<u8, u64> {
-        let forces = self.seats[index].member.as_ref().map(Member::forces);
-        forces.into_iter().flatten().map(|(domain, force)| (domain.0, force.edit)).collect()
+        let rollouts = self.seats[index].member.as_ref().map(Member::rollouts);
+        rollouts
+            .into_iter()
+            .flatten()
+            .map(|(domain, rollout)| (domain.0, rollout.lowest_edition))
+            .collect()
     }
 
     /// The state of VM `of` in the view of VM `at`.
@@ -352,10 +356,10 @@
 
     fn give(&mut self, seat: usize, event: Event) {
         let Some(member) = &mut self.seats[seat].member else { return };
-        let before = member.stats().declared;
+        let before = member.stats().declared_dead;
         let mut out = Vec::new();
-        member.on(self.now, event, &mut out);
-        if member.stats().declared > before {
+        member.handle(self.now, event, &mut out);
+        if member.stats().declared_dead > before {
             self.count_false_removals(seat);
         }
         for action in out {
@@ -391,13 +395,13 @@
                 }
                 self.at(self.now + way.1, Due::Packet { to: way.0, from, packet });
             }
-            Action::Sync(to, records) => {
+            Action::SendRecords(to, records) => {
                 if let Some((to, delay)) = self.way(seat, to) {
                     self.at(self.now + delay + delay, Due::Records { to, records });
                 }
             }
             Action::Paused(_) => self.pauses += 1,
-            Action::Changed | Action::Newer { .. } => {}
+            Action::DirectoryChanged | Action::PeerNewer { .. } => {}
         }
     }
 
--- a/crates/tgw-bench/src/warmup/vm.rs
+++ b/crates/tgw-bench/src/warmup/vm.rs
@@ -68,7 +68,7 @@
             place,
             addr: address(number),
             seeds: (0..domains).map(address).collect(),
-            seed,
+            rng_seed: seed,
         };
         let regions = (0..domains).map(|d| (domain(d as u8), format!("r{}", d % REGIONS)));
         let place = fleet::Place { domain: domain(at as u8), regions: regions.collect() };
@@ -95,7 +95,7 @@
         let mut domains: BTreeMap<Rc<str>, Vec<Seat>> = BTreeMap::new();
         for (vm, member) in &directory.members {
             if member.state != State::Leaving {
-                let dead_until = self.member.dead_since(*vm).map(|at| at + REMEMBERED);
+                let dead_until = self.member.departed_since(*vm).map(|at| at + REMEMBERED);
                 let seat = Seat { vm: vm.0, addr: member.addr, dead_until };
                 domains.entry(domain(member.place.domain.0).into()).or_default().push(seat);
             }
--- a/crates/tgw-bench/src/warmup/world.rs
+++ b/crates/tgw-bench/src/warmup/world.rs
@@ -144,7 +144,7 @@
 
     fn member(&mut self, vm: usize, event: Event) {
         let mut out = Vec::new();
-        self.vms[vm].member.on(self.now, event, &mut out);
+        self.vms[vm].member.handle(self.now, event, &mut out);
         for action in out {
             match action {
                 Action::Send(to, packet) => {
@@ -154,12 +154,12 @@
                         self.at(self.now + way, Due::Packet { to, from, packet });
                     }
                 }
-                Action::Sync(to, records) => {
+                Action::SendRecords(to, records) => {
                     if let Some((to, way)) = self.way(vm, to) {
                         self.at(self.now + way + way + way, Due::Records { to, records });
                     }
                 }
-                Action::Newer { .. } | Action::Paused(_) | Action::Changed => {}
+                Action::PeerNewer { .. } | Action::Paused(_) | Action::DirectoryChanged => {}
             }
         }
     }
--- a/crates/tgw-bench/tests/members.rs
+++ b/crates/tgw-bench/tests/members.rs
@@ -141,8 +141,8 @@
     world.edit(11, 7);
     world.run(SECOND.scale(10.0));
     for at in 0..12 {
-        let forces = world.in_force(at);
-        assert!(forces.len() == 3 && forces.values().all(|e| *e == 7), "at {at}: {forces:?}");
+        let rollouts = world.in_force(at);
+        assert!(rollouts.len() == 3 && rollouts.values().all(|e| *e == 7), "at {at}: {rollouts:?}");
     }
 }
 
--- a/crates/tgw-gateway/src/peers.rs
+++ b/crates/tgw-gateway/src/peers.rs
@@ -93,7 +93,7 @@
             place: peer.place,
             addr,
             seeds: peer.seeds.clone(),
-            seed: rand::random(),
+            rng_seed: rand::random(),
         };
         let member = RefCell::new(Member::new(options));
         let peers = Rc::new(Self {
@@ -202,10 +202,12 @@
         self.shared.record_versions();
         self.send_reports();
         self.forward_updates();
-        self.on_member_event(Event::Edit(config));
-        self.on_member_event(Event::World(upstreams));
-        self.on_member_event(Event::Evacuations(evacuations));
-        self.on_member_event(Event::Blind(self.shared.reachability.borrow().is_blind()));
+        self.on_member_event(Event::Edition(config));
+        self.on_member_event(Event::CatalogVersion(upstreams));
+        self.on_member_event(Event::EvacuationsVersion(evacuations));
+        self.on_member_event(Event::PlatformUnreachable(
+            self.shared.reachability.borrow().is_blind(),
+        ));
     }
 
     pub(crate) fn versions(&self) -> Versions {
@@ -252,13 +254,13 @@
 
     pub(crate) fn on_member_event(self: &Rc<Self>, event: Event) {
         let mut actions = Vec::new();
-        self.member.borrow_mut().on(self.shared.now(), event, &mut actions);
+        self.member.borrow_mut().handle(self.shared.now(), event, &mut actions);
         for action in actions {
             match action {
                 Action::Send(to, member_packet) => {
                     self.shared.packets.send(to, &Datagram::Member(member_packet));
                 }
-                Action::Sync(to, records) => {
+                Action::SendRecords(to, records) => {
                     let peers = self.clone();
                     tokio::task::spawn_local(async move {
                         let message = Message::Records(records);
@@ -267,11 +269,17 @@
                         }
                     });
                 }
-                Action::Changed => self.membership_changed.set(true),
-                Action::Newer { addr, edit, world, evacuations, .. } => {
+                Action::DirectoryChanged => self.membership_changed.set(true),
+                Action::PeerNewer {
+                    addr, edition, catalog_version, evacuations_version, ..
+                } => {
                     self.request_state(
                         addr,
-                        Versions { config: edit, upstreams: world, evacuations },
+                        Versions {
+                            config: edition,
+                            upstreams: catalog_version,
+                            evacuations: evacuations_version,
+                        },
                     );
                 }
                 Action::Paused(gap) => {
@@ -309,7 +317,7 @@
 
     fn count_vms(self: &Rc<Self>) {
         let directory = self.member.borrow().directory();
-        self.shared.peers_without_store.set(self.member.borrow().blind_near());
+        self.shared.peers_without_store.set(self.member.borrow().platform_unreachable_count());
         self.update_hosts(&directory);
         let own = Vm::from_name(&self.shared.settings.vm);
         let own_region = directory.members.get(&own).map(|m| m.place.region);
@@ -351,7 +359,7 @@
             if entry.state == State::Leaving {
                 continue;
             }
-            let dead_until = member.dead_since(*vm).map(|at| at + REMEMBERED);
+            let dead_until = member.departed_since(*vm).map(|at| at + REMEMBERED);
             let seat = Seat { vm: vm.0, addr: entry.addr, dead_until };
             domains.entry(domain.into()).or_default().push(seat);
         }
@@ -387,7 +395,7 @@
         if self.shared.relay.borrow().is_none() {
             self.count_vms();
         }
-        let relay = self.member.borrow().follows();
+        let relay = self.member.borrow().watches_platform();
         self.shared.relay.send_if_modified(|known| {
             let differs = *known != Some(relay);
             if differs {
--- a/crates/tgw-member/src/anti_entropy.rs
+++ b/crates/tgw-member/src/anti_entropy.rs
@@ -79,7 +79,7 @@
             .filter(|r| domains.contains(&r.member.place.domain))
             .cloned()
             .collect();
-        out.push(Action::Sync(addr, records));
+        out.push(Action::SendRecords(addr, records));
     }
 
     pub(crate) fn evict_departed(&mut self, now: Millis) {
--- a/crates/tgw-member/src/apply.rs
+++ b/crates/tgw-member/src/apply.rs
@@ -2,7 +2,7 @@
     Member, Record,
     member::{Actions, PUSH_FANOUT, SUSPICION_TIMEOUT_MS, Suspicion},
     packet::{Body, Update},
-    relay::Force,
+    relay::Rollout,
 };
 use rand::seq::SliceRandom;
 use tgw_clock::Millis;
@@ -27,7 +27,7 @@
                 }
             }
             Update::Rollout { domain, lowest_edition, behind, example, stamp } => {
-                let rollout = Force { edit: lowest_edition, behind, example, stamp };
+                let rollout = Rollout { lowest_edition, behind, example, stamp };
                 let own = domain == self.own_domain() && self.is_first_relay();
                 if !own && self.relay.apply_rollout(domain, rollout) {
                     let transmissions = self.transmissions();
--- a/crates/tgw-member/src/cross_domain.rs
+++ b/crates/tgw-member/src/cross_domain.rs
@@ -22,7 +22,7 @@
 
     /// Whether this VM watches the platform where each watch has a cost: one VM of each region, since
     /// relays pass changes on across domains at once, or two where there is only one domain.
-    pub fn follows(&self) -> bool {
+    pub fn watches_platform(&self) -> bool {
         if self.other_domains().is_empty() {
             return self.is_relay();
         }
@@ -45,7 +45,7 @@
     }
 
     /// The number of VMs of this domain that cannot reach the platform.
-    pub fn blind_near(&self) -> usize {
+    pub fn platform_unreachable_count(&self) -> usize {
         let local = self.records.values().filter(|r| r.member.place.domain == self.own_domain());
         local.filter(|r| r.member.state.can_own() && r.member.platform_unreachable).count()
     }
--- a/crates/tgw-member/src/failure_detector.rs
+++ b/crates/tgw-member/src/failure_detector.rs
@@ -114,7 +114,7 @@
             let dead = suspicion.final_probes > FINAL_PROBE_COUNT;
             let Some(mut record) = self.records.get(&vm).cloned() else { continue };
             if dead {
-                self.stats.declared += 1;
+                self.stats.declared_dead += 1;
                 record.member.state = State::Dead;
                 self.apply_record(now, record, out);
             } else {
--- a/crates/tgw-member/src/lib.rs
+++ b/crates/tgw-member/src/lib.rs
@@ -25,6 +25,6 @@
 /// Reachability of other failure domains and the editions in force in each.
 mod relay;
 
-pub use member::{Action, Event, Force, Member, Options, Stats};
+pub use member::{Action, Event, Member, Options, Rollout, Stats};
 pub use packet::Packet;
 pub use record::Record;
--- a/crates/tgw-member/src/member.rs
+++ b/crates/tgw-member/src/member.rs
@@ -14,7 +14,7 @@
 use tgw_owner::{Directory, Member as Entry, State};
 use tgw_topology::{Place, Vm, place::Domain};
 
-pub use crate::relay::Force;
+pub use crate::relay::Rollout;
 
 /// How often one VM of the domain is probed; also the time after which an unanswered probe makes its
 /// target a suspect.
@@ -57,7 +57,7 @@
     /// The addresses to join through.
     pub seeds: Vec<SocketAddr>,
     /// Seed of the random number generator.
-    pub seed: u64,
+    pub rng_seed: u64,
 }
 
 /// An input of the state machine.
@@ -70,13 +70,13 @@
     /// The platform has listed seed addresses.
     Seeds(Vec<SocketAddr>),
     /// This edition of the table is in force on this VM.
-    Edit(u64),
+    Edition(u64),
     /// The catalog of this version is in use on this VM.
-    World(u64),
+    CatalogVersion(u64),
     /// The list of evacuated failure domains of this version is in force on this VM.
-    Evacuations(u64),
+    EvacuationsVersion(u64),
     /// Whether this VM cannot reach the platform.
-    Blind(bool),
+    PlatformUnreachable(bool),
     /// This VM leaves.
     Leave,
     /// Time has passed.
@@ -89,21 +89,21 @@
     /// Send a packet.
     Send(SocketAddr, Box<Packet>),
     /// Send these records to another VM reliably.
-    Sync(SocketAddr, Vec<Record>),
+    SendRecords(SocketAddr, Vec<Record>),
     /// The directory has changed.
-    Changed,
+    DirectoryChanged,
     /// Another VM has a newer edition of the table, a newer catalog or a newer list of evacuations.
-    Newer {
+    PeerNewer {
         /// The other VM.
         vm: Vm,
         /// Its address.
         addr: SocketAddr,
         /// Its edition of the table.
-        edit: u64,
+        edition: u64,
         /// The version of its catalog.
-        world: u64,
+        catalog_version: u64,
         /// The version of its list of evacuated failure domains.
-        evacuations: u64,
+        evacuations_version: u64,
     },
     /// This VM was paused for this long: other VMs may have taken over its groups.
     Paused(Millis),
@@ -117,7 +117,7 @@
     /// Suspicions that this VM started.
     pub suspected: u64,
     /// VMs that this VM was the first to declare dead.
-    pub declared: u64,
+    pub declared_dead: u64,
     /// Records about this VM that it refuted.
     pub refuted: u64,
 }
@@ -166,7 +166,7 @@
 impl Member {
     /// The state of a VM that knows only itself and its seeds.
     pub fn new(options: Options) -> Self {
-        let rng = SmallRng::seed_from_u64(options.seed ^ options.vm.0);
+        let rng = SmallRng::seed_from_u64(options.rng_seed ^ options.vm.0);
         let mut member = Self {
             incarnation: options.incarnation,
             options,
@@ -211,17 +211,17 @@
     }
 
     /// Since when a VM is considered dead or is leaving.
-    pub fn dead_since(&self, vm: Vm) -> Option<Millis> {
+    pub fn departed_since(&self, vm: Vm) -> Option<Millis> {
         self.departed_since.get(&vm).copied()
     }
 
     /// The address at which a VM is reached.
-    pub fn directory_addr(&self, vm: Vm) -> Option<SocketAddr> {
+    pub fn peer_addr(&self, vm: Vm) -> Option<SocketAddr> {
         self.addr(vm)
     }
 
     /// The editions in force in each domain, as far as they are known.
-    pub fn forces(&self) -> &BTreeMap<Domain, Force> {
+    pub fn rollouts(&self) -> &BTreeMap<Domain, Rollout> {
         self.relay.rollouts()
     }
 
@@ -231,30 +231,32 @@
     }
 
     /// Handles one event at `now` and appends the resulting actions to `out`.
-    pub fn on(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Packet(addr, packet) => self.handle_packet(now, addr, *packet, out),
             Event::Records(records) => self.merge_records(now, records, out),
             Event::Seeds(seeds) => self.options.seeds = seeds,
-            Event::Edit(edition) => {
+            Event::Edition(edition) => {
                 self.edition = self.edition.max(edition);
                 self.report_edition(out);
                 self.push_versions(out);
             }
-            Event::World(version) => {
+            Event::CatalogVersion(version) => {
                 self.catalog_version = self.catalog_version.max(version);
                 self.push_versions(out);
             }
-            Event::Evacuations(version) => {
+            Event::EvacuationsVersion(version) => {
                 self.evacuations_version = self.evacuations_version.max(version);
                 self.push_versions(out);
             }
-            Event::Blind(unreachable) => self.set_platform_unreachable(unreachable, out),
+            Event::PlatformUnreachable(unreachable) => {
+                self.set_platform_unreachable(unreachable, out);
+            }
             Event::Leave => self.leave(now, out),
             Event::Tick => self.tick(now, out),
         }
         if std::mem::take(&mut self.changed) {
-            out.push(Action::Changed);
+            out.push(Action::DirectoryChanged);
         }
     }
 
@@ -321,12 +323,12 @@
             || catalog_version > self.catalog_version
             || evacuations_version > self.evacuations_version
         {
-            out.push(Action::Newer {
+            out.push(Action::PeerNewer {
                 vm: from,
                 addr,
-                edit: edition,
-                world: catalog_version,
-                evacuations: evacuations_version,
+                edition,
+                catalog_version,
+                evacuations_version,
             });
         }
         match body {
@@ -376,7 +378,7 @@
         self.send(addr, Body::Ack { seq }, out);
         // A joining VM needs every record; updates alone carry only recent changes.
         if unknown {
-            out.push(Action::Sync(addr, self.records()));
+            out.push(Action::SendRecords(addr, self.records()));
         }
     }
 
--- a/crates/tgw-member/src/relay.rs
+++ b/crates/tgw-member/src/relay.rs
@@ -22,9 +22,9 @@
 
 /// A summary of the editions in force at the VMs of one domain.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Force {
+pub struct Rollout {
     /// The lowest edition in force at any live VM.
-    pub edit: u64,
+    pub lowest_edition: u64,
     /// The number of VMs below the domain's highest edition.
     pub behind: u16,
     /// One of the VMs that are behind.
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Relay {
     reachability: BTreeMap<Domain, Reachability>,
-    rollouts: BTreeMap<Domain, Force>,
+    rollouts: BTreeMap<Domain, Rollout>,
     /// Editions in force at the VMs of this domain, as they reported them.
     editions: BTreeMap<Vm, u64>,
     /// Since when any VM of this domain has been behind another.
@@ -119,11 +119,11 @@
         self.editions.insert(vm, edition);
     }
 
-    pub(crate) fn rollouts(&self) -> &BTreeMap<Domain, Force> {
+    pub(crate) fn rollouts(&self) -> &BTreeMap<Domain, Rollout> {
         &self.rollouts
     }
 
-    pub(crate) fn apply_rollout(&mut self, domain: Domain, rollout: Force) -> bool {
+    pub(crate) fn apply_rollout(&mut self, domain: Domain, rollout: Rollout) -> bool {
         let newer = self.rollouts.get(&domain).is_none_or(|r| rollout.stamp > r.stamp);
         if newer {
             self.rollouts.insert(domain, rollout);
@@ -145,8 +145,8 @@
         let behind: Vec<Vm> = live.iter().filter(|vm| edition_of(vm) < highest).copied().collect();
         let old = self.rollouts.get(&own_domain);
         let stamp = old.map_or(0, |r| r.stamp) + 1;
-        let rollout = Force {
-            edit: lowest_edition,
+        let rollout = Rollout {
+            lowest_edition,
             behind: behind.len() as u16,
             example: behind.first().copied(),
             stamp,
@@ -155,14 +155,14 @@
         // sent only once the lowest edition changes or VMs have been behind for a while.
         let lasting = self.behind_since.is_some_and(|since| now - since >= LAG_REPORT_DELAY_MS);
         let unchanged = old.is_some_and(|o| {
-            o.edit == rollout.edit
+            o.lowest_edition == rollout.lowest_edition
                 && (o.behind == rollout.behind || (rollout.behind > 0 && !lasting))
         });
         self.behind_since = (rollout.behind > 0).then(|| self.behind_since.unwrap_or(now));
         if unchanged {
             return None;
         }
-        let Force { edit: lowest_edition, behind, example, stamp } = rollout.clone();
+        let Rollout { lowest_edition, behind, example, stamp } = rollout.clone();
         self.rollouts.insert(own_domain, rollout);
         Some(Update::Rollout { domain: own_domain, lowest_edition, behind, example, stamp })
     }
--- a/crates/tgw-peer/src/worker.rs
+++ b/crates/tgw-peer/src/worker.rs
@@ -16,7 +16,7 @@
     thread::JoinHandle,
 };
 use tgw_clock::{Clock, Freeze, Millis};
-use tgw_member::{Action, Event, Force, Member, Packet, Record};
+use tgw_member::{Action, Event, Member, Packet, Record, Rollout};
 use tgw_owner::Directory;
 use tgw_ring::Receiver;
 use tgw_topology::{Vm, place::Domain};
@@ -71,7 +71,7 @@
     /// The directory has changed; `relay` says whether this VM watches the platform for its domain.
     fn directory(&self, directory: Arc<Directory>, relay: bool);
     /// The editions in force by failure domain.
-    fn forces(&self, forces: BTreeMap<Domain, Force>);
+    fn forces(&self, rollouts: BTreeMap<Domain, Rollout>);
     /// The link to a VM broke.
     fn lost(&self, vm: Vm);
     /// A payload could not be queued because the VM does not keep up.
@@ -282,18 +282,20 @@
             self.handle_event(Event::Records(batch));
         }
         self.handle_event(Event::Tick);
-        self.report.forces(self.member.forces().clone());
+        self.report.forces(self.member.rollouts().clone());
     }
 
     fn handle_event(&mut self, event: Event) {
         let mut actions = Vec::new();
-        self.member.on(self.clock.now(), event, &mut actions);
+        self.member.handle(self.clock.now(), event, &mut actions);
         for action in actions {
             match action {
                 Action::Send(to, packet) => self.send_packet(to, &packet),
-                Action::Sync(to, records) => self.send_records(to, records),
-                Action::Changed => self.publish_directory(),
-                Action::Newer { vm, edit, world, .. } => self.report.newer(vm, edit, world),
+                Action::SendRecords(to, records) => self.send_records(to, records),
+                Action::DirectoryChanged => self.publish_directory(),
+                Action::PeerNewer { vm, edition, catalog_version, .. } => {
+                    self.report.newer(vm, edition, catalog_version);
+                }
                 Action::Paused(gap) => self.report.paused(gap),
             }
         }
@@ -346,8 +348,8 @@
     fn handle_command(&mut self, command: Outgoing) {
         match command {
             Outgoing::Parcel(to, parcel) => self.send_frame(to, parcel),
-            Outgoing::Edit(edit) => self.handle_event(Event::Edit(edit)),
-            Outgoing::World(version) => self.handle_event(Event::World(version)),
+            Outgoing::Edit(edit) => self.handle_event(Event::Edition(edit)),
+            Outgoing::World(version) => self.handle_event(Event::CatalogVersion(version)),
             Outgoing::Seeds(seeds) => self.handle_event(Event::Seeds(seeds)),
             Outgoing::Leave => self.handle_event(Event::Leave),
         }
@@ -378,7 +380,7 @@
     /// too recently.
     fn link(&mut self, to: Vm) -> Option<(SocketAddr, Link)> {
         let now = self.clock.now();
-        let addr = self.member.directory_addr(to)?;
+        let addr = self.member.peer_addr(to)?;
         let known = self.links.get(&to).filter(|(linked, _)| *linked == addr);
         if let Some((_, link)) = known {
             return Some((addr, link.clone()));
--- a/crates/tgw-serve/src/queries.rs
+++ b/crates/tgw-serve/src/queries.rs
@@ -9,7 +9,7 @@
     sync::{Arc, atomic::Ordering},
 };
 use tgw_clock::{Clock, Freeze, Millis};
-use tgw_member::Force;
+use tgw_member::Rollout;
 use tgw_node::{Input, Intake, Message, Node, Output};
 use tgw_order::Key;
 use tgw_peer::{Outgoing, Parcel};
@@ -44,7 +44,7 @@
     pub(crate) log: Log,
     pub(crate) idle: watch::Sender<bool>,
     replies: BTreeMap<u64, (oneshot::Sender<Said>, Option<String>)>,
-    forces: BTreeMap<Domain, Force>,
+    rollouts: BTreeMap<Domain, Rollout>,
     next: u64,
     draining: bool,
 }
@@ -82,7 +82,7 @@
             log: Log::new(name),
             idle: ends.idle,
             replies: BTreeMap::new(),
-            forces: BTreeMap::new(),
+            rollouts: BTreeMap::new(),
             next: 1,
             draining: false,
         }
@@ -135,8 +135,8 @@
                 }
                 return;
             }
-            Work::Forces(forces) => {
-                self.forces = forces;
+            Work::Rollouts(rollouts) => {
+                self.rollouts = rollouts;
                 return;
             }
             Work::Inspect(reply) => {
@@ -343,12 +343,12 @@
             addr: m.addr.to_string(),
             reachable: !directory.unreachable_domains.contains(&m.place.domain),
         });
-        let domains = self.forces.iter().map(|(domain, force)| DomainLine {
+        let domains = self.rollouts.iter().map(|(domain, rollout)| DomainLine {
             domain: domain.0,
             reachable: !directory.unreachable_domains.contains(domain),
-            edit: force.edit,
-            behind: force.behind,
-            example: force.example.map(|vm| self.vm_name(vm)),
+            edit: rollout.lowest_edition,
+            behind: rollout.behind,
+            example: rollout.example.map(|vm| self.vm_name(vm)),
         });
         let stats = self.node.stats();
         Status {
--- a/crates/tgw-serve/src/serve.rs
+++ b/crates/tgw-serve/src/serve.rs
@@ -17,7 +17,7 @@
 };
 use tgw_clock::{Clock, Freeze, Millis, Monotonic};
 use tgw_dispatch::leaf::{Failure, Outcome};
-use tgw_member::Force;
+use tgw_member::Rollout;
 use tgw_node::{
     Identity, Message, Node, Tap,
     message::{Ask, Told},
@@ -190,8 +190,8 @@
         let _ = self.notices.push(Notice::Relay(relay));
     }
 
-    fn forces(&self, forces: BTreeMap<Domain, Force>) {
-        let _ = self.core.push(Work::Forces(forces));
+    fn forces(&self, rollouts: BTreeMap<Domain, Rollout>) {
+        let _ = self.core.push(Work::Rollouts(rollouts));
     }
 
     fn lost(&self, vm: Vm) {
@@ -334,7 +334,7 @@
             place,
             addr: settings.listen.peers,
             seeds: peer.seeds.clone(),
-            seed: incarnation,
+            rng_seed: incarnation,
         },
         listen: settings.listen.peers,
         keys: Keys::new(peer.key.0, peer.old_key.map(|k| k.0)),
--- a/crates/tgw-serve/src/work.rs
+++ b/crates/tgw-serve/src/work.rs
@@ -6,7 +6,7 @@
     Leaf,
     leaf::{Failure, Held, Reply},
 };
-use tgw_member::Force;
+use tgw_member::Rollout;
 use tgw_node::Message;
 use tgw_owner::Directory;
 use tgw_query::{Answer, answer::Refusal};
@@ -61,7 +61,7 @@
     Catalog(Arc<Catalog>),
     Table(Arc<Document>),
     Directory(Arc<Directory>),
-    Forces(BTreeMap<Domain, Force>),
+    Rollouts(BTreeMap<Domain, Rollout>),
     Paused(Millis),
     Drain,
     Inspect(oneshot::Sender<Status>),
