--- a/crates/tgw-bench/src/leaving/actions.rs
+++ b/crates/tgw-bench/src/leaving/actions.rs
@@ -89,7 +89,7 @@
             return;
         }
         let state = &mut self.vms[vm];
-        if state.member.blind_near() >= LOST_NEAR {
+        if state.member.platform_unreachable_count() >= LOST_NEAR {
             state.view.with_upstreams(|view| view.lost(self.now));
         }
         state.store_schedule.listed(version);
@@ -124,11 +124,11 @@
         let Some(Call { step, began, .. }) = self.take_call(vm, call) else { return };
         self.waiting.retain(|w| w.1 != call);
         let state = &mut self.vms[vm];
-        let blind_near = state.member.blind_near();
+        let unreachable_count = state.member.platform_unreachable_count();
         match step {
             Step::List => {
                 state.view.with_upstreams(|view| view.lost(self.now));
-                state.store_schedule.failed(self.now, blind_near);
+                state.store_schedule.failed(self.now, unreachable_count);
                 state.reachability.note(state.view.read_mode(), state.store_schedule.is_blind());
             }
             Step::Watch { wait, .. } => {
@@ -158,7 +158,7 @@
             return;
         }
         let state = &mut self.vms[vm];
-        let relay = Some(state.member.follows());
+        let relay = Some(state.member.watches_platform());
         if relay == state.relay {
             return;
         }
--- a/crates/tgw-bench/src/leaving/peers.rs
+++ b/crates/tgw-bench/src/leaving/peers.rs
@@ -18,7 +18,7 @@
 impl Simulation {
     pub(super) fn handle_member_event(&mut self, vm: usize, event: Event) {
         let mut out = Vec::new();
-        self.vms[vm].member.on(self.now, event, &mut out);
+        self.vms[vm].member.handle(self.now, event, &mut out);
         for action in out {
             match action {
                 Action::Send(to, packet) => {
@@ -28,7 +28,7 @@
                         self.schedule(self.now + delay, Scheduled::Packet { to, from, packet });
                     }
                 }
-                Action::Sync(to, records) => {
+                Action::SendRecords(to, records) => {
                     if let Some((to, delay)) = self.delivery(vm, to) {
                         self.schedule(
                             self.now + delay + delay + delay,
@@ -36,11 +36,11 @@
                         );
                     }
                 }
-                Action::Newer { addr, world, evacuations, .. } => {
-                    self.request_update(vm, addr, world.max(evacuations));
+                Action::PeerNewer { addr, catalog_version, evacuations_version, .. } => {
+                    self.request_update(vm, addr, catalog_version.max(evacuations_version));
                 }
                 Action::Paused(gap) => self.vms[vm].view.with_upstreams(|view| view.paused(gap)),
-                Action::Changed => {}
+                Action::DirectoryChanged => {}
             }
         }
     }
--- a/crates/tgw-bench/src/leaving/simulation.rs
+++ b/crates/tgw-bench/src/leaving/simulation.rs
@@ -159,13 +159,13 @@
         // Domains are assigned to regions in round-robin order, as the platform numbers them.
         let place = Place { region: Region(region as u8), domain: Domain(domain as u8) };
         let options = Options {
-            vm: Id::named(&format!("vm-{number}")),
+            vm: Id::from_name(&format!("vm-{number}")),
             name: format!("vm-{number}"),
             incarnation: 1 << 16,
             place,
             addr: address(number),
             seeds: (0..domains.min(vms)).map(address).collect(),
-            seed: self.rng.random(),
+            rng_seed: self.rng.random(),
         };
         Vm {
             addr: address(number),
--- a/crates/tgw-bench/src/leaving/vm.rs
+++ b/crates/tgw-bench/src/leaving/vm.rs
@@ -45,9 +45,9 @@
     pub(crate) fn announcements(&mut self) -> Vec<Event> {
         let version = self.view.version();
         let update = match self.view {
-            View::Upstreams(_) => Event::World(version),
-            View::Evacuations(_) => Event::Evacuations(version),
+            View::Upstreams(_) => Event::CatalogVersion(version),
+            View::Evacuations(_) => Event::EvacuationsVersion(version),
         };
-        vec![update, Event::Blind(self.reachability.is_blind())]
+        vec![update, Event::PlatformUnreachable(self.reachability.is_blind())]
     }
 }
--- a/crates/tgw-bench/src/members.rs
+++ b/crates/tgw-bench/src/members.rs
@@ -104,7 +104,7 @@
             let domain = index / each;
             let place = Place { region: Region((domain / 2) as u8), domain: Domain(domain as u8) };
             let addr = address(index);
-            let vm = Vm::named(&format!("vm-{index}"));
+            let vm = Vm::from_name(&format!("vm-{index}"));
             let deferred = Vec::new();
             simulation.nodes.push(Node {
                 member: None,
@@ -140,7 +140,7 @@
             place: node.place,
             addr: node.addr,
             seeds,
-            seed: index as u64,
+            rng_seed: index as u64,
         }));
         let generation = node.generation;
         let jitter = Millis::from_micros(self.rng.random_range(0..TICK_INTERVAL_MS.as_micros()));
@@ -178,19 +178,19 @@
     }
 
     /// Sets whether a VM cannot reach the platform.
-    pub fn set_platform_unreachable(&mut self, index: usize, blind: bool) {
-        self.deliver(index, Event::Blind(blind));
+    pub fn set_platform_unreachable(&mut self, index: usize, unreachable: bool) {
+        self.deliver(index, Event::PlatformUnreachable(unreachable));
     }
 
     /// The VMs that watch the platform, each by its own decision.
     pub fn watchers(&self) -> Vec<usize> {
-        let follows = |node: &Node| node.member.as_ref().is_some_and(Member::follows);
+        let follows = |node: &Node| node.member.as_ref().is_some_and(Member::watches_platform);
         self.nodes.iter().enumerate().filter(|(_, s)| follows(s)).map(|(index, _)| index).collect()
     }
 
     /// Sets the edition of the table that is in force at a VM.
-    pub fn set_edition(&mut self, index: usize, edit: u64) {
-        self.deliver(index, Event::Edit(edit));
+    pub fn set_edition(&mut self, index: usize, edition: u64) {
+        self.deliver(index, Event::Edition(edition));
     }
 
     /// Partitions a domain from all others, or heals the partition.
@@ -215,8 +215,12 @@
 
     /// The edition in force in each domain, as one VM knows it.
     pub fn in_force(&self, index: usize) -> BTreeMap<u8, u64> {
-        let forces = self.nodes[index].member.as_ref().map(Member::forces);
-        forces.into_iter().flatten().map(|(domain, force)| (domain.0, force.edit)).collect()
+        let rollouts = self.nodes[index].member.as_ref().map(Member::rollouts);
+        rollouts
+            .into_iter()
+            .flatten()
+            .map(|(domain, rollout)| (domain.0, rollout.lowest_edition))
+            .collect()
     }
 
     /// The state of VM `of` in the view of VM `at`.
@@ -232,7 +236,7 @@
             let directory = self.directory(index);
             let alive = directory.members.iter().filter(|(_, m)| m.state == State::Alive);
             let seen: BTreeSet<Vm> = alive.map(|(vm, _)| *vm).collect();
-            seen == up && directory.cut.is_empty()
+            seen == up && directory.unreachable_domains.is_empty()
         })
     }
 
@@ -363,10 +367,10 @@
 
     fn deliver(&mut self, node: usize, event: Event) {
         let Some(member) = &mut self.nodes[node].member else { return };
-        let before = member.stats().declared;
+        let before = member.stats().declared_dead;
         let mut out = Vec::new();
-        member.on(self.now, event, &mut out);
-        if member.stats().declared > before {
+        member.handle(self.now, event, &mut out);
+        if member.stats().declared_dead > before {
             self.count_false_removals(node);
         }
         for action in out {
@@ -405,13 +409,13 @@
                     Scheduled::Packet { to: delivery.0, from, packet },
                 );
             }
-            Action::Sync(to, records) => {
+            Action::SendRecords(to, records) => {
                 if let Some((to, delay)) = self.delivery(node, to) {
                     self.schedule(self.now + delay + delay, Scheduled::Records { to, records });
                 }
             }
             Action::Paused(_) => self.pauses += 1,
-            Action::Changed | Action::Newer { .. } => {}
+            Action::DirectoryChanged | Action::PeerNewer { .. } => {}
         }
     }
 
--- a/crates/tgw-bench/src/model.rs
+++ b/crates/tgw-bench/src/model.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use tgw_clock::Millis;
 use tgw_dispatch::Leaf;
-use tgw_topology::{Snapshot, catalog::Node};
+use tgw_topology::{Snapshot, catalog::UpstreamEntry};
 
 /// Median service time in milliseconds, and the standard deviation of its logarithm.
 pub(crate) const MEDIAN_MS: f64 = 4.0;
@@ -30,7 +30,7 @@
 
 /// One upstream.
 pub(crate) struct Upstream {
-    pub(crate) node: Node,
+    pub(crate) node: UpstreamEntry,
     pub(crate) running: Vec<(u64, Job)>,
     pub(crate) queue: VecDeque<Job>,
     pub(crate) queue_limit: usize,
@@ -51,7 +51,7 @@
 }
 
 impl Upstream {
-    pub(crate) fn new(node: &Node, held: Vec<Snapshot>, queue_limit: usize) -> Self {
+    pub(crate) fn new(node: &UpstreamEntry, held: Vec<Snapshot>, queue_limit: usize) -> Self {
         Self {
             node: node.clone(),
             running: Vec::new(),
@@ -67,7 +67,7 @@
     }
 
     pub(crate) fn arrive(&mut self, job: Job, rng: &mut SmallRng) -> Admission {
-        if self.running.len() < usize::from(self.node.slots) {
+        if self.running.len() < usize::from(self.node.max_concurrency) {
             let (run, time) = self.start(job, rng);
             return Admission::Running(run, time);
         }
@@ -110,7 +110,7 @@
 
     /// Starts the first queued request if a slot is free.
     pub(crate) fn start_queued(&mut self, rng: &mut SmallRng) -> Option<(u64, Millis)> {
-        if self.running.len() >= usize::from(self.node.slots) {
+        if self.running.len() >= usize::from(self.node.max_concurrency) {
             return None;
         }
         let job = self.queue.pop_front()?;
--- a/crates/tgw-bench/src/sim.rs
+++ b/crates/tgw-bench/src/sim.rs
@@ -27,7 +27,7 @@
 use tgw_standin::size;
 use tgw_topology::{
     Catalog, Place, Query, Service, Snapshot, Vm,
-    place::{Distance, Domain},
+    place::{Domain, Latency},
 };
 
 const TICK_INTERVAL_MS: Millis = Millis::new(1);
@@ -116,7 +116,7 @@
 pub(crate) struct Sim {
     pub(crate) setup: Setup,
     pub(crate) policy: Policy,
-    pub(crate) distance: Distance,
+    pub(crate) distance: Latency,
     pub(crate) now: Millis,
     pub(crate) heap: BinaryHeap<Reverse<(Millis, u64)>>,
     pub(crate) events: BTreeMap<u64, Event>,
@@ -150,18 +150,18 @@
         let distance = if setup.network_delays {
             setup.user.distance()
         } else {
-            Distance { local: 0.0, domains: 0.0, regions: 0.0 }
+            Latency { same_domain_ms: 0.0, cross_domain_ms: 0.0, cross_region_ms: 0.0 }
         };
         let slow_upstreams = SlowUpstreams::default();
         let queue_limit =
             if policy.is_direct() { DIRECT_QUEUE_LIMIT_FACTOR } else { QUEUE_LIMIT_FACTOR };
-        let held = |node: &tgw_topology::catalog::Node| {
+        let held = |node: &tgw_topology::catalog::UpstreamEntry| {
             catalog.services.get(&node.service).map(|s| s.snapshots.clone()).unwrap_or_default()
         };
         let upstreams = catalog
             .upstreams
             .values()
-            .map(|n| Upstream::new(n, held(n), queue_limit * usize::from(n.slots)))
+            .map(|n| Upstream::new(n, held(n), queue_limit * usize::from(n.max_concurrency)))
             .collect();
         let mut sim = Self {
             policy,
@@ -192,7 +192,7 @@
     }
 
     pub(crate) fn make_vm(&self, index: usize, generation: u32) -> VmState {
-        let vm = Vm::named(&format!("vm-{index}"));
+        let vm = Vm::from_name(&format!("vm-{index}"));
         let place = size::place(index);
         let identity = Identity {
             vm,
@@ -292,11 +292,11 @@
         if self.policy == Policy::DirectShares {
             let vms = self.setup.vms as u16;
             for node in catalog.upstreams.values_mut() {
-                node.slots = (node.slots / vms).max(1);
+                node.max_concurrency = (node.max_concurrency / vms).max(1);
             }
         } else if self.policy.is_direct() {
             for node in catalog.upstreams.values_mut() {
-                node.slots = u16::MAX;
+                node.max_concurrency = u16::MAX;
             }
         }
         catalog
@@ -319,23 +319,24 @@
                 place: state.place,
                 addr,
                 state: if state.leaving { State::Leaving } else { State::Alive },
-                blind: false,
+                platform_unreachable: false,
             };
             directory.members.insert(state.vm, member);
         }
-        directory.cut = self.partitioned.iter().filter(|c| c.0 == here).map(|c| c.1).collect();
+        directory.unreachable_domains =
+            self.partitioned.iter().filter(|c| c.0 == here).map(|c| c.1).collect();
         directory
     }
 
     fn schedule_arrival(&mut self, service: Service) {
-        let shards = self.catalog.partition(service, tgw_topology::Layout(1));
+        let shards = self.catalog.layout(service, tgw_topology::Layout(1));
         let shards = shards.map_or(1, |p| p.shards.len()) as f64;
         let slots: f64 = self
             .catalog
             .upstreams
             .values()
             .filter(|u| u.service == service)
-            .map(|u| f64::from(u.slots))
+            .map(|u| f64::from(u.max_concurrency))
             .sum();
         let per_ms = self.setup.load * slots / model::mean_ms() / shards;
         let gap = Exp::new(per_ms).map_or(1.0, |e| e.sample(&mut self.arrivals));
--- a/crates/tgw-bench/src/slopes.rs
+++ b/crates/tgw-bench/src/slopes.rs
@@ -15,11 +15,11 @@
     Message,
     message::{Ask, Told},
 };
-use tgw_owner::{Directory, Map, Member, State};
+use tgw_owner::{Assignment, Directory, Member, State};
 use tgw_standin::size::{Spread, User};
 use tgw_topology::{
     Catalog, Group, Layout, Place, Query, Service, Shard, Snapshot, Upstream, Vm,
-    catalog::{Entry, Node, Partition},
+    catalog::{LayoutEntry, ServiceEntry, UpstreamEntry},
     place::{Domain, Region},
 };
 use tgw_wire::Keys;
@@ -101,7 +101,7 @@
     Cost { what: "decision core, entry and owner together", unit: "µs a leaf request", values }
 }
 
-fn mean_shards(entry: &Entry) -> f64 {
+fn mean_shards(entry: &ServiceEntry) -> f64 {
     entry.layouts.first().map_or(0.0, |l| l.shards.len() as f64)
 }
 
@@ -113,9 +113,15 @@
     let place = Place { region: Region(0), domain: Domain(0) };
     let member = |index: usize| {
         let name = format!("vm-{index}");
-        let entry =
-            Member { name, incarnation: 1, place, addr: addr(), state: State::Alive, blind: false };
-        (Vm::named(&format!("vm-{index}")), entry)
+        let entry = Member {
+            name,
+            incarnation: 1,
+            place,
+            addr: addr(),
+            state: State::Alive,
+            platform_unreachable: false,
+        };
+        (Vm::from_name(&format!("vm-{index}")), entry)
     };
     Directory { members: (0..vms).map(member).collect(), ..Directory::default() }
 }
@@ -124,12 +130,12 @@
 fn ownership() -> Vec<Cost> {
     let place = Place { region: Region(0), domain: Domain(0) };
     let value = |(groups, vms): (u16, usize)| {
-        let map = Map::new(Arc::new(directory(vms)));
+        let assignment = Assignment::new(Arc::new(directory(vms)));
         let start = Instant::now();
         let mut owned: BTreeMap<Vm, u32> = BTreeMap::new();
         for instance in 0..groups {
             let group = Group { service: Service(instance / 110), instance, domain: Domain(0) };
-            if let Some(owner) = map.owners(group, place).first() {
+            if let Some(owner) = assignment.owners(group, place).first() {
                 *owned.entry(*owner).or_default() += 1;
             }
         }
@@ -150,7 +156,7 @@
 
 fn frames() -> Vec<Cost> {
     let query = Query { incarnation: 1 << 40, number: 1 << 20 };
-    let key = Key { from: Vm::named("vm"), query, shard: Shard(50), attempt: 0 };
+    let key = Key { from: Vm::from_name("vm"), query, shard: Shard(50), attempt: 0 };
     let request = Message::Ask(Ask {
         group: Group { service: Service(100), instance: 50, domain: Domain(10) },
         stand_in: false,
@@ -198,7 +204,7 @@
     let table = |services: usize| {
         let mut document = tgw_table::Document::default();
         for index in 0..services {
-            let row = tgw_table::Row::named(&format!("service-{index:04}"));
+            let row = tgw_table::Row::with_defaults(&format!("service-{index:04}"));
             document.rows.insert(row.service.clone(), row);
         }
         document
@@ -208,18 +214,18 @@
         (format!("{services} services"), bytes as f64)
     };
     let delta = |services: usize| {
-        let old = tgw_table::Document::default().next(&table(services));
+        let old = tgw_table::Document::default().next_edition(&table(services));
         let mut wanted = old.clone();
         if let Some(row) = wanted.rows.values_mut().next() {
             row.weight += 1;
         }
-        let delta = old.next(&wanted).delta(old.edit);
+        let delta = old.next_edition(&wanted).delta(old.edition);
         let bytes = tgw_wire::seal(&keys, &delta).map_or(0, |f| f.len());
         (format!("{services} services"), bytes as f64)
     };
     let catalog = |services: u16| {
         let catalog = catalog(services);
-        let bytes = tgw_wire::seal(&keys, &catalog.since(0)).map_or(0, |f| f.len());
+        let bytes = tgw_wire::seal(&keys, &catalog.changed_since(0)).map_or(0, |f| f.len());
         (format!("{} upstreams", catalog.upstreams.len()), bytes as f64)
     };
     let part = |services: u16| {
@@ -251,8 +257,8 @@
     ]
 }
 
-fn catalog_parts(services: u16) -> Vec<tgw_topology::catalog::Part> {
-    catalog(services).since(0)
+fn catalog_parts(services: u16) -> Vec<tgw_topology::catalog::ServiceUpdate> {
+    catalog(services).changed_since(0)
 }
 
 /// A catalog of services of 110 shards with three replicas each, one shard per instance.
@@ -268,25 +274,25 @@
             let first = (u32::from(service) * u32::from(SHARDS) + u32::from(instance)) * 3;
             for replica in 0..3 {
                 let id_ = Upstream(first + replica);
-                let node = Node {
+                let node = UpstreamEntry {
                     id: id_,
                     service: id,
                     instance,
                     place,
                     addr: addr(),
-                    slots: 8,
-                    connections: 100,
+                    max_concurrency: 8,
+                    max_connections: 100,
                     leaving: false,
                 };
                 catalog.upstreams.insert(id_, node);
             }
             shards.push((0..3).map(|r| Upstream(first + r)).collect());
         }
-        let layout = Partition { id: Layout(1), shards };
+        let layout = LayoutEntry { id: Layout(1), shards };
         let snapshots = vec![Snapshot { version: 1, layout: Layout(1) }];
         let name = format!("service-{service}");
-        catalog.services.insert(id, Entry { id, name, snapshots, layouts: vec![layout] });
-        catalog.changed.insert(id, 1);
+        catalog.services.insert(id, ServiceEntry { id, name, snapshots, layouts: vec![layout] });
+        catalog.changed_versions.insert(id, 1);
     }
     catalog
 }
--- a/crates/tgw-bench/src/warmup/simulation.rs
+++ b/crates/tgw-bench/src/warmup/simulation.rs
@@ -152,7 +152,7 @@
 
     fn handle_member_event(&mut self, vm: usize, event: Event) {
         let mut out = Vec::new();
-        self.vms[vm].member.on(self.now, event, &mut out);
+        self.vms[vm].member.handle(self.now, event, &mut out);
         for action in out {
             match action {
                 Action::Send(to, packet) => {
@@ -162,7 +162,7 @@
                         self.schedule(self.now + delay, Scheduled::Packet { to, from, packet });
                     }
                 }
-                Action::Sync(to, records) => {
+                Action::SendRecords(to, records) => {
                     if let Some((to, delay)) = self.delivery(vm, to) {
                         self.schedule(
                             self.now + delay + delay + delay,
@@ -170,7 +170,7 @@
                         );
                     }
                 }
-                Action::Newer { .. } | Action::Paused(_) | Action::Changed => {}
+                Action::PeerNewer { .. } | Action::Paused(_) | Action::DirectoryChanged => {}
             }
         }
     }
--- a/crates/tgw-bench/src/warmup/vm.rs
+++ b/crates/tgw-bench/src/warmup/vm.rs
@@ -62,13 +62,13 @@
         let region = at % REGIONS;
         let place = Place { region: Region(region as u8), domain: Domain(at as u8) };
         let options = Options {
-            vm: Id::named(&format!("vm-{number}")),
+            vm: Id::from_name(&format!("vm-{number}")),
             name: format!("vm-{number}"),
             incarnation: (1 << 16) + now.whole(),
             place,
             addr: address(number),
             seeds: (0..domains).map(address).collect(),
-            seed,
+            rng_seed: seed,
         };
         let regions = (0..domains).map(|d| (domain(d as u8), format!("r{}", d % REGIONS)));
         let place = fleet::Place { domain: domain(at as u8), regions: regions.collect() };
@@ -103,12 +103,12 @@
         let mut domains: BTreeMap<Rc<str>, Vec<Seat>> = BTreeMap::new();
         for (vm, member) in &directory.members {
             if member.state != State::Leaving {
-                let dead_until = self.member.dead_since(*vm).map(|at| at + REMEMBERED);
+                let dead_until = self.member.departed_since(*vm).map(|at| at + REMEMBERED);
                 let candidate = Seat { vm: vm.0, addr: member.addr, dead_until };
                 domains.entry(domain(member.place.domain.0).into()).or_default().push(candidate);
             }
         }
-        let own = Id::named(&format!("vm-{}", self.number)).0;
+        let own = Id::from_name(&format!("vm-{}", self.number)).0;
         self.core.fleet.set_roster(Roster::new(own, domains));
     }
 }
--- a/crates/tgw-bench/tests/members.rs
+++ b/crates/tgw-bench/tests/members.rs
@@ -114,8 +114,11 @@
     let mut simulation = settled(domains, each, seed);
     simulation.set_partitioned(0, true);
     simulation.run(SECOND.scale(20.0));
-    let cut = simulation.directory(each).cut;
-    assert!(cut.iter().any(|d| d.0 == 0), "the others see the domain as unreachable: {cut:?}");
+    let unreachable = simulation.directory(each).unreachable_domains;
+    assert!(
+        unreachable.iter().any(|d| d.0 == 0),
+        "the others see the domain as unreachable: {unreachable:?}"
+    );
     simulation.set_partitioned(0, false);
     simulation
         .run_until(SECOND.scale(10.0), Simulation::converged)
@@ -149,8 +152,8 @@
     simulation.set_edition(11, 7);
     simulation.run(SECOND.scale(10.0));
     for at in 0..12 {
-        let forces = simulation.in_force(at);
-        assert!(forces.len() == 3 && forces.values().all(|e| *e == 7), "at {at}: {forces:?}");
+        let rollouts = simulation.in_force(at);
+        assert!(rollouts.len() == 3 && rollouts.values().all(|e| *e == 7), "at {at}: {rollouts:?}");
     }
 }
 
--- a/crates/tgw-dispatch/src/group.rs
+++ b/crates/tgw-dispatch/src/group.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use tgw_clock::Millis;
 use tgw_tail::{Budget, Hedge};
-use tgw_topology::{Group as GroupId, Snapshot, Upstream, catalog::Node};
+use tgw_topology::{Group as GroupId, Snapshot, Upstream, catalog::UpstreamEntry};
 
 /// Queued requests examined in one pass; the rest wait for the next pass.
 const MAX_SCANNED_REQUESTS: usize = 64;
@@ -80,14 +80,14 @@
         }
     }
 
-    pub(crate) fn update(&mut self, nodes: &[&Node], options: &Options) {
+    pub(crate) fn update(&mut self, nodes: &[&UpstreamEntry], options: &Options) {
         self.handed_over = false;
-        self.retry_budget.set_share(options.retry);
+        self.retry_budget.set_ratio(options.retry);
         self.options = options.clone();
         for node in nodes.iter().filter(|n| n.group() == self.id) {
             match self.upstreams.iter_mut().find(|u| u.id == node.id) {
                 Some(known) => {
-                    known.slots = node.slots;
+                    known.slots = node.max_concurrency;
                     if node.leaving {
                         known.mark_leaving();
                     }
@@ -325,7 +325,7 @@
         // A request that was shed, or whose snapshot was missing, cost the upstream nothing, so
         // only retries of work that may have been done are charged to the budget.
         let is_free = matches!(task.last_failure, Some(Outcome::Shed | Outcome::Gone));
-        if may_send && now < task.leaf.deadline && (is_free || self.retry_budget.spend()) {
+        if may_send && now < task.leaf.deadline && (is_free || self.retry_budget.try_spend()) {
             self.queue.insert((task.leaf.deadline, task_id));
             self.fail_if_unservable(now, task_id, out);
         } else {
@@ -428,7 +428,7 @@
             let kind = if task.sends == 0 { What::Send } else { What::Retry };
             self.queue.remove(&at);
             if kind == What::Send {
-                service.hedge.request();
+                service.hedge.record_request();
                 self.retry_budget.earn();
             }
             self.send(now, at.1, usable[chosen], kind, service, out);
--- a/crates/tgw-serve/src/config.rs
+++ b/crates/tgw-serve/src/config.rs
@@ -16,7 +16,7 @@
 use tgw_platform::{Error, Expect, Object, Store, Version, object::List};
 use tgw_ring::{Receiver, Sender};
 use tgw_table::{Document, adopt};
-use tgw_topology::{Catalog, Vm, catalog::Part};
+use tgw_topology::{Catalog, Vm, catalog::ServiceUpdate};
 use tokio::{
     sync::watch,
     task::{LocalSet, spawn_local},
@@ -145,7 +145,7 @@
         let start = self.clock.now();
         loop {
             let received = match kind {
-                TABLE_KIND => self.table.borrow().edit() > 0,
+                TABLE_KIND => self.table.borrow().edition() > 0,
                 SERVICE_KIND => self.catalog.borrow().version > 0,
                 _ => false,
             };
@@ -202,13 +202,13 @@
         }
         let table = self.table.borrow();
         if let Some(document) = table.document() {
-            tracing::info!(target: "tgw::table", edit = document.edit, source, "table in force");
+            tracing::info!(target: "tgw::table", edit = document.edition, source, "table in force");
             let _ = self.core.push(CoreMessage::Table(document.clone()));
-            let _ = self.peers.push(Outgoing::Edit(document.edit));
+            let _ = self.peers.push(Outgoing::Edit(document.edition));
         }
     }
 
-    fn apply_services(&self, version: Version, services: Vec<Part>) {
+    fn apply_services(&self, version: Version, services: Vec<ServiceUpdate>) {
         let mut catalog = self.catalog.borrow_mut();
         if catalog.merge(version, services) {
             let _ = self.core.push(CoreMessage::Catalog(Arc::new(catalog.clone())));
@@ -292,7 +292,7 @@
         }
         self.requested_at.set(Some(now));
         let (edition, catalog_version) =
-            (self.table.borrow().edit(), self.catalog.borrow().version);
+            (self.table.borrow().edition(), self.catalog.borrow().version);
         let _ = self
             .peers
             .push(Outgoing::Parcel(vm, Parcel::Ask { edit: edition, world: catalog_version }));
@@ -300,27 +300,27 @@
 
     fn send_updates(&self, from: Vm, edition: u64, catalog_version: Version) {
         let table = self.table.borrow();
-        if let Some(document) = table.document().filter(|d| d.edit > edition) {
+        if let Some(document) = table.document().filter(|d| d.edition > edition) {
             let delta = document.delta(edition);
             let _ = self.peers.push(Outgoing::Parcel(from, Parcel::Table(delta)));
         }
         let catalog = self.catalog.borrow();
         if catalog.version > catalog_version {
-            let (version, services) = (catalog.version, catalog.since(catalog_version));
+            let (version, services) = (catalog.version, catalog.changed_since(catalog_version));
             let _ =
                 self.peers.push(Outgoing::Parcel(from, Parcel::World { version, parts: services }));
         }
     }
 }
 
-fn decode_service(object: Object) -> Option<Part> {
-    let mut service: Part = serde_json::from_value(object.value)
+fn decode_service(object: Object) -> Option<ServiceUpdate> {
+    let mut service: ServiceUpdate = serde_json::from_value(object.value)
         .map_err(|error| {
             tracing::error!(target: "tgw::platform", name = object.name, %error,
                 "cannot decode a service object");
         })
         .ok()?;
-    service.changed = object.version;
+    service.changed_version = object.version;
     Some(service)
 }
 
--- a/crates/tgw-serve/src/messages.rs
+++ b/crates/tgw-serve/src/messages.rs
@@ -6,7 +6,7 @@
     Leaf,
     leaf::{Failure, Held, Reply},
 };
-use tgw_member::Force;
+use tgw_member::Rollout;
 use tgw_node::Message;
 use tgw_owner::Directory;
 use tgw_query::{Answer, answer::Refusal};
@@ -61,7 +61,7 @@
     Catalog(Arc<Catalog>),
     Table(Arc<Document>),
     Directory(Arc<Directory>),
-    Rollouts(BTreeMap<Domain, Force>),
+    Rollouts(BTreeMap<Domain, Rollout>),
     Paused(Millis),
     Drain,
     Inspect(oneshot::Sender<Status>),
@@ -87,7 +87,7 @@
     /// Changes of the table, sent by a VM.
     TableUpdate(tgw_table::document::Delta),
     /// Changes of the catalog, sent by a VM.
-    CatalogUpdate { version: u64, services: Vec<tgw_topology::catalog::Part> },
+    CatalogUpdate { version: u64, services: Vec<tgw_topology::catalog::ServiceUpdate> },
     /// A call to the platform's store that the claims worker requests.
     StoreCall(tgw_order::Action),
     /// Whether this VM watches the platform on behalf of its failure domain.
--- a/crates/tgw-serve/src/queries.rs
+++ b/crates/tgw-serve/src/queries.rs
@@ -9,7 +9,7 @@
     sync::{Arc, atomic::Ordering},
 };
 use tgw_clock::{Clock, Freeze, Millis};
-use tgw_member::Force;
+use tgw_member::Rollout;
 use tgw_node::{Input, Intake, Message, Node, Output};
 use tgw_order::Key;
 use tgw_peer::{Outgoing, Parcel};
@@ -46,7 +46,7 @@
     pub(crate) log: Log,
     pub(crate) idle: watch::Sender<bool>,
     pending: BTreeMap<u64, (oneshot::Sender<Completion>, Option<String>)>,
-    rollouts: BTreeMap<Domain, Force>,
+    rollouts: BTreeMap<Domain, Rollout>,
     next_token: u64,
     draining: bool,
 }
@@ -306,7 +306,7 @@
 
     fn connect(&mut self, upstream: Upstream) {
         let node = self.node.catalog().upstreams.get(&upstream);
-        if let Some((addr, max_concurrency)) = node.map(|n| (n.addr, n.slots)) {
+        if let Some((addr, max_concurrency)) = node.map(|n| (n.addr, n.max_concurrency)) {
             self.send_command(Command::Connect { upstream, addr, max_concurrency });
         }
     }
@@ -325,7 +325,7 @@
         };
         let gauges = &self.gauges;
         gauges.ready.store(self.is_ready(), Ordering::Relaxed);
-        set(&gauges.table_edition, self.node.table().map_or(0, |t| t.edit));
+        set(&gauges.table_edition, self.node.table().map_or(0, |t| t.edition));
         set(&gauges.queries_running, self.node.entry().pending() as u64);
         set(&gauges.first_requests, stats.leafs);
         set(&gauges.extra_requests, stats.extra);
@@ -335,7 +335,7 @@
         set(&gauges.restarts, stats.restarts);
         set(&gauges.members, self.node.directory().owners().count() as u64);
         set(&gauges.core_ring_length, self.core_sender.len() as u64);
-        set(&gauges.core_ring_rejected, self.core_sender.refused());
+        set(&gauges.core_ring_rejected, self.core_sender.rejected_count());
         let idle = self.draining && self.node.idle() && self.pending.is_empty();
         self.idle.send_if_modified(|old| std::mem::replace(old, idle) != idle);
     }
@@ -352,12 +352,12 @@
             place: m.place.to_string(),
             state: m.state.to_string(),
             addr: m.addr.to_string(),
-            reachable: !directory.cut.contains(&m.place.domain),
+            reachable: !directory.unreachable_domains.contains(&m.place.domain),
         });
         let domains = self.rollouts.iter().map(|(domain, rollout)| DomainStatus {
             domain: domain.0,
-            reachable: !directory.cut.contains(domain),
-            edit: rollout.edit,
+            reachable: !directory.unreachable_domains.contains(domain),
+            edit: rollout.lowest_edition,
             behind: rollout.behind,
             example: rollout.example.map(|vm| self.vm_name(vm)),
         });
@@ -367,7 +367,7 @@
             place: self.place.clone(),
             ready: self.is_ready(),
             draining: self.draining,
-            edit: self.node.table().map_or(0, |t| t.edit),
+            edit: self.node.table().map_or(0, |t| t.edition),
             catalog_version: self.node.catalog().version,
             vms: vms.collect(),
             domains: domains.collect(),
@@ -389,7 +389,7 @@
 
     fn upstream_statuses(&self, now: Millis) -> Vec<UpstreamStatus> {
         let catalog = self.node.catalog();
-        let status_of = |node: &tgw_topology::catalog::Node| UpstreamStatus {
+        let status_of = |node: &tgw_topology::catalog::UpstreamEntry| UpstreamStatus {
             upstream: node.id.to_string(),
             service: catalog
                 .services
--- a/crates/tgw-serve/src/serve.rs
+++ b/crates/tgw-serve/src/serve.rs
@@ -17,7 +17,7 @@
 };
 use tgw_clock::{Clock, Freeze, Millis, Monotonic};
 use tgw_dispatch::leaf::{Failure, Outcome};
-use tgw_member::Force;
+use tgw_member::Rollout;
 use tgw_node::{
     Identity, Message, Node, Tap,
     message::{Ask, Told},
@@ -25,11 +25,11 @@
 use tgw_owner::Directory;
 use tgw_peer::{Letter, Network, Open, Outgoing, Parcel, Report};
 use tgw_platform::{Http, Store};
-use tgw_ring::{Receiver, Sender, pair};
+use tgw_ring::{Receiver, Sender, channel};
 use tgw_settings::Settings;
 use tgw_topology::{
     Place, Vm,
-    place::{Distance, Domain, Region},
+    place::{Domain, Latency, Region},
 };
 use tgw_wire::Keys;
 use tokio::sync::watch;
@@ -198,7 +198,7 @@
         let _ = self.config.push(ConfigMessage::WatchesPlatform(watches_platform));
     }
 
-    fn forces(&self, rollouts: BTreeMap<Domain, Force>) {
+    fn forces(&self, rollouts: BTreeMap<Domain, Rollout>) {
         let _ = self.core.push(CoreMessage::Rollouts(rollouts));
     }
 
@@ -236,13 +236,13 @@
     let clock: Arc<dyn Clock> = Arc::new(Monotonic::default());
     let gauges = Arc::new(Gauges::default());
     let metrics = Arc::new(Metrics::new(&gauges)?);
-    let vm = Vm::named(&settings.vm.name);
+    let vm = Vm::from_name(&settings.vm.name);
     let incarnation = incarnation();
     let place = Place { region: Region(settings.vm.region), domain: Domain(settings.vm.domain) };
-    let (core, core_receiver) = pair(CORE_RING_CAPACITY);
-    let (commands, command_receiver) = pair(COMMAND_RING_CAPACITY);
-    let (outgoing, outgoing_receiver) = pair(PEERS_RING_CAPACITY);
-    let (config, config_receiver) = pair(CONFIG_RING_CAPACITY);
+    let (core, core_receiver) = channel(CORE_RING_CAPACITY);
+    let (commands, command_receiver) = channel(COMMAND_RING_CAPACITY);
+    let (outgoing, outgoing_receiver) = channel(PEERS_RING_CAPACITY);
+    let (config, config_receiver) = channel(CONFIG_RING_CAPACITY);
     let (stop, stopped) = watch::channel(false);
     let (close, closed) = watch::channel(false);
     let (idle, idle_receiver) = watch::channel(false);
@@ -359,7 +359,7 @@
             place,
             addr: settings.listen.peers,
             seeds: peer.seeds.clone(),
-            seed: incarnation,
+            rng_seed: incarnation,
         },
         listen: settings.listen.peers,
         keys: Keys::new(peer.key.0, peer.old_key.map(|k| k.0)),
@@ -372,10 +372,10 @@
 fn identity(settings: &Settings, vm: Vm, incarnation: u64, place: Place) -> Identity {
     let micros_as_ms = |micros: u64| Millis::from_micros(micros).as_f64();
     let network = settings.network;
-    let distance = Distance {
-        local: micros_as_ms(network.local_us),
-        domains: micros_as_ms(network.domains_us),
-        regions: micros_as_ms(network.regions_us),
+    let distance = Latency {
+        same_domain_ms: micros_as_ms(network.local_us),
+        cross_domain_ms: micros_as_ms(network.domains_us),
+        cross_region_ms: micros_as_ms(network.regions_us),
     };
     let (places, sample) = (settings.listen.concurrency as u32, settings.log.sample);
     Identity { vm, incarnation, place, distance, places, sample }
