--- a/crates/tgw-bench/src/forward.rs
+++ b/crates/tgw-bench/src/forward.rs
@@ -18,7 +18,7 @@
     plan::{Ended, Event, Options, Response},
     upstream::{Entry, Sign},
 };
-use tgw_quarantine::{Fingerprint, message::Seen};
+use tgw_quarantine::{Fingerprint, message::Rounds};
 use tgw_route::{Config, Residency, Route, Safety, Service, Target, Warmup, config::Shards};
 use tgw_spread::{
     hop::{Outcome, Reply, Request},
@@ -170,7 +170,7 @@
         headers: headers.map(|name| (name.into(), b"9c41d07be2a35f68".to_vec())).into(),
         body: Vec::new(),
         print: Fingerprint { content: 0x9c41_d07b_e2a3_5f68, caller: 0x9c41_d07b },
-        seen: Seen::default(),
+        seen: Rounds::default(),
     }));
     let outcome = Outcome::Answered {
         status: 200,
--- a/crates/tgw-bench/src/overload/death.rs
+++ b/crates/tgw-bench/src/overload/death.rs
@@ -6,8 +6,9 @@
 use tgw_clock::Millis;
 use tgw_forward::{plan::Ended, upstream::Sign};
 use tgw_quarantine::{
-    Fingerprint, ledger,
-    message::{End, News, Seen},
+    Fingerprint,
+    message::{Rounds, Termination, Update},
+    tracker,
 };
 
 /// Time in ms after which the store has forgotten an upstream that ended.
@@ -27,7 +28,7 @@
     /// The VM whose connection it came on.
     pub(super) from: usize,
     pub(super) print: Fingerprint,
-    pub(super) seen: Seen,
+    pub(super) rounds: Rounds,
 }
 
 /// Upstreams that end, and others that start in their place.
@@ -51,13 +52,13 @@
         self.at(now + FORGOTTEN, Event::Forgotten { upstream, life });
         self.at(back, Event::Started { upstream, life: life + 1 });
         for flight in std::mem::take(&mut self.flights[upstream]) {
-            let Flight { ended, hosted, arrives, from, print, seen } = flight;
+            let Flight { ended, hosted, arrives, from, print, rounds } = flight;
             let held = arrives <= now;
             let way = self.world.way(self.vms[from].region, upstream % REGIONS);
             // After the break a new connection is tried, and refused.
             let looked = way.scale(2.0);
             if held {
-                let end = end_of(upstream, life, print, seen);
+                let end = end_of(upstream, life, print, rounds);
                 self.at(now + way + looked, Event::Lost { vm: from, upstream, life, end });
             }
             let at = arrives.max(now);
@@ -82,36 +83,36 @@
         now: Millis,
         vm: usize,
         (upstream, life): (usize, u32),
-        end: &End,
+        end: &Termination,
     ) {
         let core = &mut self.vms[vm].core;
         if let Some(key) = core.fleet.key(&name(upstream, life)) {
             core.fleet.lost(now, key);
         }
-        core.quarantine.ended(now, end);
+        core.quarantine.record_end(now, end);
         self.pass_on(now, vm);
     }
 
     /// A VM is told by another one.
-    pub(super) fn hear(&mut self, now: Millis, vm: usize, news: &News) {
-        let ledger = &mut self.vms[vm].core.quarantine;
-        for end in &news.ends {
-            ledger.ended(now, end);
+    pub(super) fn hear(&mut self, now: Millis, vm: usize, update: &Update) {
+        let tracker = &mut self.vms[vm].core.quarantine;
+        for end in &update.terminations {
+            tracker.record_end(now, end);
         }
-        for hold in &news.holds {
-            ledger.merge(now, hold);
+        for state in &update.states {
+            tracker.merge(now, state);
         }
         self.pass_on(now, vm);
     }
 
     /// A VM passes on what is new to it, to some others.
     fn pass_on(&mut self, now: Millis, vm: usize) {
-        while let Some(news) = self.vms[vm].core.quarantine.take_news() {
+        while let Some(update) = self.vms[vm].core.quarantine.take_update() {
             let others: Vec<usize> = (0..self.vms.len()).filter(|other| *other != vm).collect();
             for at in index::sample(&mut self.rng, others.len(), FANOUT.min(others.len())) {
                 let to = others[at];
                 let way = self.world.way(self.vms[vm].region, self.vms[to].region);
-                self.at(now + way, Event::Heard { vm: to, news: news.clone() });
+                self.at(now + way, Event::Heard { vm: to, update: update.clone() });
             }
         }
     }
@@ -134,9 +135,14 @@
     }
 }
 
-fn end_of(upstream: usize, life: u32, print: Fingerprint, seen: Seen) -> End {
-    let service = ledger::name(&format!("s{}", upstream / REGIONS));
-    End { print, service, upstream: ledger::name(&name(upstream, life)), seen }
+fn end_of(upstream: usize, life: u32, print: Fingerprint, rounds: Rounds) -> Termination {
+    let service = tracker::hash_name(&format!("s{}", upstream / REGIONS));
+    Termination {
+        fingerprint: print,
+        service,
+        upstream: tracker::hash_name(&name(upstream, life)),
+        rounds,
+    }
 }
 
 /// The identity of an upstream in one of its lives.
--- a/crates/tgw-bench/src/overload/run.rs
+++ b/crates/tgw-bench/src/overload/run.rs
@@ -27,7 +27,7 @@
     plan::{self, Answer, Ended, Order, Response},
     upstream::Sign,
 };
-use tgw_quarantine::message::{End, News};
+use tgw_quarantine::message::{Termination, Update};
 use tgw_route::Route;
 
 /// One way between regions and within one, in ms.
@@ -117,12 +117,12 @@
         vm: usize,
         upstream: usize,
         life: u32,
-        end: End,
+        end: Termination,
     },
     /// A VM is told of upstreams that ended.
     Heard {
         vm: usize,
-        news: News,
+        update: Update,
     },
     /// All VMs learn that it has.
     Forgotten {
@@ -258,7 +258,7 @@
                 Some(Event::Lost { vm, upstream, life, end }) => {
                     self.lost(now, vm, (upstream, life), &end);
                 }
-                Some(Event::Heard { vm, news }) => self.hear(now, vm, &news),
+                Some(Event::Heard { vm, update }) => self.hear(now, vm, &update),
                 Some(Event::Forgotten { upstream, life }) => self.forget(upstream, life),
                 Some(Event::Started { upstream, life }) => self.enter(now, upstream, life),
                 None => {}
@@ -356,7 +356,7 @@
         let ended =
             self.at(at + way, Event::Ended { vm, query: number, part, ticket, sign, ended });
         let arrives = now + way;
-        self.hold(upstream, Flight { ended, hosted, arrives, from, print, seen });
+        self.hold(upstream, Flight { ended, hosted, arrives, from, print, rounds: seen });
     }
 
     /// What becomes of a part of a query at its upstream.
--- a/crates/tgw-forward/src/answer.rs
+++ b/crates/tgw-forward/src/answer.rs
@@ -82,7 +82,7 @@
 
     fn failure_answer(&self, now: Millis, core: &Core) -> Answer {
         if self.may_have_run
-            && (self.quarantined_for.is_some() || core.quarantine.holds(self.fingerprint))
+            && (self.quarantined_for.is_some() || core.quarantine.is_quarantined(self.fingerprint))
         {
             return Answer::Failed(Cause::Quarantined);
         }
--- a/crates/tgw-forward/src/core.rs
+++ b/crates/tgw-forward/src/core.rs
@@ -7,7 +7,7 @@
 };
 use std::{collections::HashMap, rc::Rc};
 use tgw_clock::Millis;
-use tgw_quarantine::Ledger;
+use tgw_quarantine::Tracker;
 use tgw_route::{Config, Residency, Route, Share};
 use tgw_tail::Hedge;
 
@@ -74,7 +74,7 @@
     /// Time reserved to deliver an answer.
     pub margin: Margin,
     /// Requests under which upstreams terminated.
-    pub quarantine: Ledger,
+    pub quarantine: Tracker,
     budget: Budget,
     policy: Policy,
     vms: Vms,
--- a/crates/tgw-forward/src/message.rs
+++ b/crates/tgw-forward/src/message.rs
@@ -9,7 +9,7 @@
 use derive_more::Display;
 use http::{HeaderMap, HeaderValue, StatusCode};
 use tgw_clock::Millis;
-use tgw_quarantine::message::Seen;
+use tgw_quarantine::message::Rounds;
 
 /// A complete reply of an upstream.
 #[derive(Clone, Debug)]
@@ -114,7 +114,7 @@
     /// unchanged.
     pub cut: Option<Cut>,
     /// Upstream terminations known for the request.
-    pub seen: Seen,
+    pub seen: Rounds,
 }
 
 /// The answer to a caller.
--- a/crates/tgw-forward/src/part.rs
+++ b/crates/tgw-forward/src/part.rs
@@ -9,7 +9,7 @@
 use smallvec::SmallVec;
 use std::rc::Rc;
 use tgw_clock::Millis;
-use tgw_quarantine::message::Seen;
+use tgw_quarantine::message::Rounds;
 use tgw_route::{Route, Target};
 
 /// Upper bound on attempts to send one part, most of which reach no upstream: no connection, or no
@@ -55,7 +55,7 @@
     /// A send that is wanted, but has to wait until other sends of the request have ended.
     pub(crate) delayed: Option<Why>,
     /// For each send, the upstream terminations known for the request when it was made.
-    pub(crate) seen: SmallVec<[(Key, Seen); 2]>,
+    pub(crate) seen: SmallVec<[(Key, Rounds); 2]>,
     /// The send that was withheld last, with its reason.
     pub(crate) last_withheld: Option<Withheld>,
 }
@@ -128,7 +128,7 @@
     }
 
     /// The upstream terminations known for the request when it was sent to `upstream`.
-    pub(crate) fn seen(&self, upstream: Key) -> Seen {
+    pub(crate) fn seen(&self, upstream: Key) -> Rounds {
         let sent = self.seen.iter().rev().find(|(key, _)| *key == upstream);
         sent.map(|(_, seen)| *seen).unwrap_or_default()
     }
--- a/crates/tgw-forward/src/quarantine.rs
+++ b/crates/tgw-forward/src/quarantine.rs
@@ -5,15 +5,15 @@
 };
 use tgw_clock::Millis;
 use tgw_quarantine::{
-    ledger::{LIMIT, Verdict},
-    message::Seen,
+    message::Rounds,
+    tracker::{QUARANTINE_ROUNDS, Verdict},
 };
 
 /// Whether one more send may be made now.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Permission {
     /// Allowed, with the upstream terminations known for the request.
-    Granted(Seen),
+    Granted(Rounds),
     /// Another send of the request has to end first.
     Wait,
     /// The request is quarantined.
@@ -36,13 +36,13 @@
             return true;
         }
         match core.quarantine.verdict(now, self.fingerprint) {
-            Verdict::Free => true,
-            Verdict::Careful(rounds) => {
-                self.trial = core.quarantine.holds(self.fingerprint);
+            Verdict::Allowed => true,
+            Verdict::Limited(rounds) => {
+                self.trial = core.quarantine.is_quarantined(self.fingerprint);
                 self.rounds = rounds;
                 true
             }
-            Verdict::Held(wait) => {
+            Verdict::Rejected(wait) => {
                 self.quarantined_for = Some(wait);
                 self.parts.iter_mut().for_each(|p| p.state = State::GivenUp);
                 false
@@ -79,34 +79,36 @@
         }
         self.answered = true;
         if let Some(part) = self.parts.get(index) {
-            self.released |= core.quarantine.answered(now, self.fingerprint, &part.service);
+            self.released |= core.quarantine.record_answer(now, self.fingerprint, &part.service);
         }
     }
 
-    /// Records that an upstream terminated under a send made with the knowledge in `seen`.
-    pub(crate) fn record_termination(&mut self, seen: Seen) {
-        self.rounds = self.rounds.max(seen.all.saturating_add(1));
+    /// Records that an upstream terminated under a send made with the rounds in `known` on record.
+    pub(crate) fn record_termination(&mut self, known: Rounds) {
+        self.rounds = self.rounds.max(known.total.saturating_add(1));
     }
 
     /// Whether a send of a part may be made now.
     pub(crate) fn permission(&mut self, now: Millis, index: usize, core: &mut Core) -> Permission {
         let Some(part) = self.parts.get(index) else { return Permission::Denied };
         if !core.policy().quarantine {
-            return Permission::Granted(Seen::default());
+            return Permission::Granted(Rounds::default());
         }
         let rounds = self.rounds(core);
         let any_in_flight = self.parts.iter().any(|p| p.in_flight > 0);
         match rounds {
-            LIMIT.. => return Permission::Denied,
+            QUARANTINE_ROUNDS.. => return Permission::Denied,
             1.. if any_in_flight => return Permission::Wait,
             _ => {}
         }
-        if let Verdict::Held(wait) = core.quarantine.part(now, self.fingerprint, &part.service) {
+        if let Verdict::Rejected(wait) =
+            core.quarantine.part_verdict(now, self.fingerprint, &part.service)
+        {
             self.quarantined_for = Some(wait);
             return Permission::Denied;
         }
-        let seen = core.quarantine.known(self.fingerprint, &part.service);
-        Permission::Granted(Seen { all: rounds, ..seen })
+        let known = core.quarantine.known_rounds(self.fingerprint, &part.service);
+        Permission::Granted(Rounds { total: rounds, ..known })
     }
 
     /// Gives a part up because its request is quarantined.
--- a/crates/tgw-forward/src/sends.rs
+++ b/crates/tgw-forward/src/sends.rs
@@ -7,7 +7,7 @@
     upstream::Distance,
 };
 use tgw_clock::Millis;
-use tgw_quarantine::message::Seen;
+use tgw_quarantine::message::Rounds;
 use tgw_route::Safety;
 
 /// Lower bound of the hedge delay in ms; earlier hedges duplicated replies that were about to
@@ -70,7 +70,7 @@
             }
             Permission::Denied => return self.give_up_quarantined(index, why),
         };
-        if why == Why::Hedge && seen != Seen::default() {
+        if why == Why::Hedge && seen != Rounds::default() {
             return;
         }
         let route = self.route.clone();
--- a/crates/tgw-forward/tests/quarantine/mod.rs
+++ b/crates/tgw-forward/tests/quarantine/mod.rs
@@ -9,8 +9,8 @@
     upstream::Sign,
 };
 use tgw_quarantine::{
-    ledger::name,
-    message::{End, Seen},
+    message::{Rounds, Termination},
+    tracker::hash_name,
 };
 use tgw_route::{Safety, Target};
 
@@ -19,9 +19,14 @@
 }
 
 /// Another VM reports that an upstream of `service` terminated under the requests of this world.
-fn report_termination(world: &mut World, service: &str, upstream: u32, seen: Seen) {
-    let end = End { print: world.fingerprint, service: name(service), upstream, seen };
-    world.core.quarantine.ended(world.now, &end);
+fn report_termination(world: &mut World, service: &str, upstream: u32, rounds: Rounds) {
+    let termination = Termination {
+        fingerprint: world.fingerprint,
+        service: hash_name(service),
+        upstream,
+        rounds,
+    };
+    world.core.quarantine.record_end(world.now, &termination);
 }
 
 /// Three rounds of terminations are reported for the requests of this world, each at another
@@ -32,7 +37,7 @@
             world,
             &format!("s{round}"),
             u32::from(round),
-            Seen { all: round, service: 0 },
+            Rounds { total: round, service: 0 },
         );
     }
 }
@@ -134,7 +139,7 @@
 #[test]
 fn suspected_search_starts_with_one_part() {
     let mut world = World::new(3);
-    report_termination(&mut world, "s0", 1, Seen::default());
+    report_termination(&mut world, "s0", 1, Rounds::default());
     world.start(&route(shards(3), Safety::Idempotent));
     assert_eq!(world.orders.len(), 1);
     world.reply(0, &record(1));
@@ -162,9 +167,9 @@
 fn search_leaves_out_quarantined_shard() {
     let mut world = World::new(4);
     for round in 0..3 {
-        report_termination(&mut world, "s2", u32::from(round), Seen { all: 0, service: round });
+        report_termination(&mut world, "s2", u32::from(round), Rounds { total: 0, service: round });
     }
-    world.core.quarantine.answered(world.now, world.fingerprint, "s0");
+    world.core.quarantine.record_answer(world.now, world.fingerprint, "s0");
     world.start(&route(shards(4), Safety::Idempotent));
     assert_eq!(world.orders.len(), 3);
     world.reply(0, &record(1));
@@ -195,7 +200,7 @@
     world.start(&route(shards(3), Safety::Idempotent));
     world.reply(0, &record(1));
     assert_eq!(world.orders.len(), 3);
-    assert!(!world.core.quarantine.holds(world.fingerprint));
+    assert!(!world.core.quarantine.is_quarantined(world.fingerprint));
 }
 
 // An at-most-once request is sent once, whatever its outcome.
--- a/crates/tgw-gateway/src/broken.rs
+++ b/crates/tgw-gateway/src/broken.rs
@@ -8,7 +8,7 @@
 use std::{cell::RefCell, collections::HashMap, io, rc::Rc};
 use tgw_clock::Millis;
 use tgw_forward::{fleet::Key, upstream::Entry};
-use tgw_quarantine::{Fingerprint, message::Seen};
+use tgw_quarantine::{Fingerprint, message::Rounds};
 use tokio::sync::oneshot;
 
 /// Timeout of the connection that probes an upstream: three times the longest round trip (40 ms). A
@@ -21,7 +21,7 @@
     pub(crate) request: HeaderValue,
     pub(crate) fingerprint: Fingerprint,
     /// What was known about the request when it was sent.
-    pub(crate) seen: Seen,
+    pub(crate) seen: Rounds,
     pub(crate) took: Millis,
     /// Receives whether the upstream has ended.
     result: oneshot::Sender<bool>,
--- a/crates/tgw-gateway/src/callers.rs
+++ b/crates/tgw-gateway/src/callers.rs
@@ -44,7 +44,7 @@
         return;
     }
     let limits = shared.config.borrow().limits;
-    let caller = shared.hasher.caller(caller);
+    let caller = shared.hasher.hash_caller(caller);
     let registration = shared.request_heads.register();
     let head = registration.head.clone();
     let service = {
--- a/crates/tgw-gateway/src/exchange.rs
+++ b/crates/tgw-gateway/src/exchange.rs
@@ -17,7 +17,7 @@
     plan::{self, Ended},
     upstream::{Entry, Sign},
 };
-use tgw_quarantine::{Fingerprint, message::Seen};
+use tgw_quarantine::{Fingerprint, message::Rounds};
 use tgw_route::Route;
 use tokio::time::timeout;
 
@@ -60,7 +60,7 @@
     /// Limits on how much of the reply the answer uses; `None` if it uses all of it.
     pub(crate) part_limits: Option<Cut>,
     /// What was known at the start of the send about upstreams that ended under this request.
-    pub(crate) seen: Seen,
+    pub(crate) seen: Rounds,
     outcome: Sign,
 }
 
@@ -106,7 +106,7 @@
     /// Limits on how much of the reply the answer uses; `None` if it uses all of it.
     pub(crate) part_limits: Option<Cut>,
     /// What is known about upstreams that ended under this request.
-    pub(crate) seen: Seen,
+    pub(crate) seen: Rounds,
 }
 
 /// Sends a request to the upstream of its ticket and reads the reply.
--- a/crates/tgw-gateway/src/handle.rs
+++ b/crates/tgw-gateway/src/handle.rs
@@ -129,7 +129,7 @@
         credentials: head.headers.get(header::AUTHORIZATION).map_or(&[], HeaderValue::as_bytes),
         body: &body,
     };
-    let fingerprint = shared.hasher.request(caller, &content);
+    let fingerprint = shared.hasher.fingerprint(caller, &content);
     let mut headers = head.headers;
     headers::strip(&mut headers);
     let outgoing = OutgoingRequest {
--- a/crates/tgw-gateway/src/quarantine.rs
+++ b/crates/tgw-gateway/src/quarantine.rs
@@ -9,8 +9,8 @@
 use tgw_forward::upstream::Entry;
 use tgw_quarantine::{
     Fingerprint,
-    ledger::{self, Change},
-    message::{End, News},
+    message::{Termination, Update},
+    tracker::{self, Change},
 };
 use tgw_spread::message::Datagram;
 
@@ -57,26 +57,28 @@
 /// Records that an upstream ended under a send of this VM.
 pub(crate) fn record_end(shared: &Shared, entry: &Entry, broken: &BrokenSend) {
     let incarnation = format!("{}/{}", entry.id, entry.started);
-    let (service, upstream) = (ledger::name(&entry.service), ledger::name(&incarnation));
-    let end = End { print: broken.fingerprint, service, upstream, seen: broken.seen };
-    let change = shared.core.borrow_mut().quarantine.ended(shared.now(), &end);
-    log_change(end.print, change, "seen here");
-    if change != Change::None {
+    let (service, upstream) =
+        (tracker::hash_name(&entry.service), tracker::hash_name(&incarnation));
+    let termination =
+        Termination { fingerprint: broken.fingerprint, service, upstream, rounds: broken.seen };
+    let change = shared.core.borrow_mut().quarantine.record_end(shared.now(), &termination);
+    log_change(termination.fingerprint, change, "seen here");
+    if change != Change::Unchanged {
         shared.update_ready.notify_one();
     }
 }
 
 /// Applies an update from another VM.
-pub(crate) fn apply_update(shared: &Shared, from: SocketAddr, update: &News) {
+pub(crate) fn apply_update(shared: &Shared, from: SocketAddr, update: &Update) {
     let now = shared.now();
-    let ledger = &mut shared.core.borrow_mut().quarantine;
-    let ends = update.ends.iter().map(|end| (end.print, ledger.ended(now, end)));
-    let mut changes: Vec<(Fingerprint, Change)> = ends.collect();
-    changes.extend(update.holds.iter().map(|hold| (hold.print, ledger.merge(now, hold))));
+    let tracker = &mut shared.core.borrow_mut().quarantine;
+    let ended = update.terminations.iter().map(|t| (t.fingerprint, tracker.record_end(now, t)));
+    let mut changes: Vec<(Fingerprint, Change)> = ended.collect();
+    changes.extend(update.states.iter().map(|s| (s.fingerprint, tracker.merge(now, s))));
     for (fingerprint, change) in &changes {
         log_change(*fingerprint, *change, &from.to_string());
     }
-    if changes.iter().any(|(_, change)| *change != Change::None) {
+    if changes.iter().any(|(_, change)| *change != Change::Unchanged) {
         shared.update_ready.notify_one();
     }
 }
@@ -99,9 +101,9 @@
 
 fn log_change(fingerprint: Fingerprint, change: Change, source: &str) {
     match change {
-        Change::None | Change::Ended => {}
-        Change::Held { all } => {
-            tracing::warn!(print = %fingerprint, all, source, "request quarantined");
+        Change::Unchanged | Change::UpstreamEnded => {}
+        Change::Quarantined { everywhere } => {
+            tracing::warn!(print = %fingerprint, all = everywhere, source, "request quarantined");
         }
         Change::Released => {
             tracing::warn!(print = %fingerprint, source, "request released from quarantine");
@@ -128,13 +130,13 @@
 
 /// All quarantined requests.
 pub(crate) fn list(shared: &Shared) -> Vec<Held> {
-    let quarantined = shared.core.borrow().quarantine.list(shared.now());
+    let quarantined = shared.core.borrow().quarantine.quarantined(shared.now());
     let shown = quarantined.into_iter().map(|request| Held {
-        print: request.print.to_string(),
-        everywhere: request.all,
-        ended: request.ended,
+        print: request.fingerprint.to_string(),
+        everywhere: request.everywhere,
+        ended: request.ended_upstreams,
         trials: request.trials,
-        wait_ms: request.wait.whole(),
+        wait_ms: request.retry_after.whole(),
         idle_ms: request.idle.whole(),
     });
     shown.collect()
@@ -148,7 +150,9 @@
             return;
         }
         while self.schedule.allow_forward(now) {
-            let Some(update) = self.shared.core.borrow_mut().quarantine.take_news() else { return };
+            let Some(update) = self.shared.core.borrow_mut().quarantine.take_update() else {
+                return;
+            };
             self.send_to_random(FANOUT, &Datagram::Quarantine(update));
         }
     }
@@ -168,15 +172,15 @@
 
     /// The next quarantined requests, as many as fit into one packet; successive calls cycle
     /// through all of them.
-    pub(crate) fn next_quarantined(&self) -> Option<News> {
+    pub(crate) fn next_quarantined(&self) -> Option<Update> {
         let core = self.shared.core.borrow();
         if core.quarantine.is_empty() {
             return None;
         }
         let start = self.schedule.next.get();
-        let holds = core.quarantine.holds_from(self.shared.now(), start);
-        self.schedule.next.set(start.wrapping_add(holds.len()));
-        (!holds.is_empty()).then(|| News { ends: Vec::new(), holds })
+        let states = core.quarantine.states_from(self.shared.now(), start);
+        self.schedule.next.set(start.wrapping_add(states.len()));
+        (!states.is_empty()).then(|| Update { terminations: Vec::new(), states })
     }
 
     fn send_to_random(&self, count: usize, datagram: &Datagram) {
--- a/crates/tgw-gateway/src/serve.rs
+++ b/crates/tgw-gateway/src/serve.rs
@@ -109,7 +109,7 @@
                 "closed connections whose request head took too long"
             );
         }
-        shared.core.borrow_mut().quarantine.sweep(now);
+        shared.core.borrow_mut().quarantine.evict_expired(now);
         let core = shared.core.borrow();
         shared.pools.sweep(now, |key| core.fleet.get(key).is_some());
     }
--- a/crates/tgw-gateway/src/state_exchange.rs
+++ b/crates/tgw-gateway/src/state_exchange.rs
@@ -11,7 +11,7 @@
 };
 use tgw_clock::Millis;
 use tgw_member::Event;
-use tgw_quarantine::message::News as QuarantineUpdate;
+use tgw_quarantine::message::Update as QuarantineUpdate;
 use tgw_spread::{
     Applied, Message,
     message::{News, Versions},
@@ -113,7 +113,7 @@
             quarantine::apply_update(
                 &self.shared,
                 from,
-                &QuarantineUpdate { ends: vec![], holds: update.held },
+                &QuarantineUpdate { terminations: vec![], states: update.held },
             );
         }
         let config = update.config.and_then(|c| self.shared.world.borrow_mut().apply(c));
@@ -208,7 +208,8 @@
             // A starting VM serves as soon as it has this reply, so it must know the quarantined
             // requests by then; a separate packet could be lost.
             let starting = held.upstreams == 0;
-            let quarantined = starting.then(|| self.shared.core.borrow().quarantine.holds_all(now));
+            let quarantined =
+                starting.then(|| self.shared.core.borrow().quarantine.all_states(now));
             News {
                 config: world.since(held.config),
                 upstreams: world.upstreams.since(now, held.upstreams),
--- a/crates/tgw-quarantine/src/evidence.rs
+++ b/crates/tgw-quarantine/src/evidence.rs
@@ -6,7 +6,7 @@
 ///
 /// An innocent request reaches this only if three upstreams end by chance, each within the milliseconds in which it
 /// runs there, without an answer in between. Two rounds would be reached by searches that run beside a query of death.
-pub const LIMIT: u8 = 3;
+pub const QUARANTINE_ROUNDS: u8 = 3;
 /// Time in ms before a quarantined request is first tried again; doubles with each trial that ends an upstream. Longer
 /// than a rollback of the upstreams takes; operators can release it sooner.
 const QUARANTINE_MS: u64 = 600_000;
@@ -43,15 +43,15 @@
         self.epoch % 2 == 1
     }
 
-    /// Records that an upstream ended under a send made with `seen` rounds known. Returns whether that begins a
+    /// Records that an upstream ended under a send made with `known` rounds on record. Returns whether that begins a
     /// quarantine.
-    pub(crate) fn upstream_ended(&mut self, now: Millis, seen: u8) -> bool {
-        let rounds = seen.saturating_add(1).min(LIMIT);
+    pub(crate) fn upstream_ended(&mut self, now: Millis, known: u8) -> bool {
+        let rounds = known.saturating_add(1).min(QUARANTINE_ROUNDS);
         if rounds > self.rounds {
             self.rounds = rounds;
             self.last_growth = now;
         }
-        let begins = self.rounds >= LIMIT && !self.is_quarantined();
+        let begins = self.rounds >= QUARANTINE_ROUNDS && !self.is_quarantined();
         if begins {
             self.epoch = self.epoch.saturating_add(1);
             self.trials = 0;
@@ -71,7 +71,7 @@
     /// Time left for the send that decides on a quarantine, if one may be in flight.
     pub(crate) fn decision_wait(&self, now: Millis) -> Option<Millis> {
         let until = self.last_growth + DECISION_TIMEOUT_MS;
-        (self.rounds == LIMIT - 1 && now < until).then(|| until - now)
+        (self.rounds == QUARANTINE_ROUNDS - 1 && now < until).then(|| until - now)
     }
 
     pub(crate) fn trials(&self) -> u8 {
@@ -111,7 +111,7 @@
             self.epoch = state.epoch;
             self.trials = state.trials;
             self.next_trial = now + Millis::new(u64::from(state.wait));
-            self.rounds = if self.is_quarantined() { LIMIT } else { 0 };
+            self.rounds = if self.is_quarantined() { QUARANTINE_ROUNDS } else { 0 };
         }
         newer
     }
--- a/crates/tgw-quarantine/src/fingerprint.rs
+++ b/crates/tgw-quarantine/src/fingerprint.rs
@@ -80,7 +80,7 @@
     }
 
     /// The hash of a caller's IP address. The port is left out, as it differs for each connection.
-    pub fn caller(&self, address: IpAddr) -> u32 {
+    pub fn hash_caller(&self, address: IpAddr) -> u32 {
         let mut hash = blake3::Hasher::new_keyed(&self.key);
         match address.to_canonical() {
             IpAddr::V4(ip) => hash.update(&ip.octets()),
@@ -90,7 +90,7 @@
     }
 
     /// The fingerprint of a request whose caller is hashed already.
-    pub fn request(&self, caller: u32, content: &Content<'_>) -> Fingerprint {
+    pub fn fingerprint(&self, caller: u32, content: &Content<'_>) -> Fingerprint {
         let Content { method, host, target, credentials, body } = content;
         let mut hash = blake3::Hasher::new_keyed(&self.key);
         let [method, host, target] = [method, host, target].map(|text| text.as_bytes());
--- a/crates/tgw-quarantine/src/lib.rs
+++ b/crates/tgw-quarantine/src/lib.rs
@@ -3,21 +3,21 @@
 //!
 //! Such a request may end every process that starts to run it, and its caller, whose call has just failed, sends it
 //! again. Within one attempt it looks like a request that met a fault of its upstreams. What distinguishes it is that
-//! each send ends other upstreams and that none ever answers. A [`Ledger`] counts this in rounds, including the
+//! each send ends other upstreams and that none ever answers. A [`Tracker`] counts this in rounds, including the
 //! reports of other VMs, and decides for each send whether it may be made. No I/O.
 
 /// Evidence against one request, at one service or at all.
 mod evidence;
 /// Which requests are the same.
 pub mod fingerprint;
-/// Evidence against all requests, and the decisions based on it.
-pub mod ledger;
 /// Which VM tries a quarantined request again.
 mod live_vms;
 /// Quarantine messages between VMs.
 pub mod message;
 /// Evidence against one request.
 mod record;
+/// Evidence against all requests, and the decisions based on it.
+pub mod tracker;
 
 pub use fingerprint::Fingerprint;
-pub use ledger::Ledger;
+pub use tracker::Tracker;
--- a/crates/tgw-quarantine/src/message.rs
+++ b/crates/tgw-quarantine/src/message.rs
@@ -9,31 +9,35 @@
 /// whichever VM saw it. Sends made without knowing of one another, such as the first ones of a search to all of its
 /// shards, make one round together: a rack that loses power ends them all, which is no evidence against any of them.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct Rounds {
     /// Rounds at all services together.
-    pub all: u8,
+    #[serde(rename = "all")]
+    pub total: u8,
     /// Rounds at the service of the send.
     pub service: u8,
 }
 
 /// An upstream's process that ended while it ran a request.
 #[derive(Copy, Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct End {
+pub struct Termination {
     /// Fingerprint of the request.
-    pub print: Fingerprint,
+    #[serde(rename = "print")]
+    pub fingerprint: Fingerprint,
     /// The upstream's service, hashed.
     pub service: u32,
     /// The upstream's incarnation, hashed.
     pub upstream: u32,
     /// Rounds known when the request was sent.
-    pub seen: Seen,
+    #[serde(rename = "seen")]
+    pub rounds: Rounds,
 }
 
 /// Quarantine of a request, begun or ended, at one service or everywhere.
 #[derive(Copy, Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineState {
     /// Fingerprint of the request.
-    pub print: Fingerprint,
+    #[serde(rename = "print")]
+    pub fingerprint: Fingerprint,
     /// Hash of the service where the state applies; `None` for all services.
     pub service: Option<u32>,
     /// Number of quarantines and releases so far: odd while the request is quarantined.
@@ -48,22 +52,24 @@
 impl QuarantineState {
     /// The state of a request that was never quarantined.
     pub fn initial(fingerprint: Fingerprint) -> Self {
-        Self { print: fingerprint, service: None, epoch: 0, trials: 0, wait: 0 }
+        Self { fingerprint, service: None, epoch: 0, trials: 0, wait: 0 }
     }
 }
 
 /// An update from one VM to others.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News {
+pub struct Update {
     /// Upstreams that ended, in the order in which the sender learnt of them.
-    pub ends: Vec<End>,
+    #[serde(rename = "ends")]
+    pub terminations: Vec<Termination>,
     /// Requests that were quarantined or released.
-    pub holds: Vec<QuarantineState>,
+    #[serde(rename = "holds")]
+    pub states: Vec<QuarantineState>,
 }
 
-impl News {
+impl Update {
     /// Whether the update contains nothing.
     pub fn is_empty(&self) -> bool {
-        self.ends.is_empty() && self.holds.is_empty()
+        self.terminations.is_empty() && self.states.is_empty()
     }
 }
--- a/crates/tgw-quarantine/src/ledger.rs
+++ b/crates/tgw-quarantine/src/tracker.rs
@@ -2,7 +2,7 @@
     Fingerprint,
     evidence::{Evidence, MAX_TRIALS},
     live_vms::LiveVms,
-    message::{End, News, QuarantineState, Seen},
+    message::{QuarantineState, Rounds, Termination, Update},
     record::Record,
 };
 use smallvec::SmallVec;
@@ -10,7 +10,7 @@
 use tgw_clock::Millis;
 use xxhash_rust::xxh3::xxh3_64;
 
-pub use crate::evidence::LIMIT;
+pub use crate::evidence::QUARANTINE_ROUNDS;
 
 /// Most requests that are remembered: 200 KB, however many different ones a caller sends.
 pub const MAX_RECORDS: usize = 1_024;
@@ -33,24 +33,24 @@
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// There is no evidence against it.
-    Free,
+    Allowed,
     /// Upstreams ended under it, in this many rounds so far: it may be sent to one upstream at a time.
-    Careful(u8),
+    Limited(u8),
     /// It is quarantined; the caller may retry after this time.
-    Held(Millis),
+    Rejected(Millis),
 }
 
 /// What a report changed.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     /// Nothing: the report was known.
-    None,
+    Unchanged,
     /// One more upstream ended.
-    Ended,
+    UpstreamEnded,
     /// The request is quarantined from now on, everywhere or at the service.
-    Held {
+    Quarantined {
         /// Whether it is quarantined everywhere.
-        all: bool,
+        everywhere: bool,
     },
     /// The request was released.
     Released,
@@ -60,15 +60,15 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QuarantinedRequest {
     /// Fingerprint of the request.
-    pub print: Fingerprint,
+    pub fingerprint: Fingerprint,
     /// Whether it is quarantined everywhere, not at some services only.
-    pub all: bool,
+    pub everywhere: bool,
     /// Number of upstreams that ended under it, as far as this VM remembers them.
-    pub ended: usize,
+    pub ended_upstreams: usize,
     /// Number of trials.
     pub trials: u8,
     /// Time until the next trial.
-    pub wait: Millis,
+    pub retry_after: Millis,
     /// Time since the last request or report.
     pub idle: Millis,
 }
@@ -78,22 +78,22 @@
 /// One VM's evidence against requests under which upstreams ended. It is usually empty, and a lookup then costs next to
 /// nothing.
 #[derive(Debug, Default)]
-pub struct Ledger {
+pub struct Tracker {
     /// Records by content, then by caller. A request is not rejected for what one other caller's requests did, but it
     /// is limited if requests with the same content ended upstreams for that caller.
     contents: HashMap<u64, Callers>,
     records: usize,
     live_vms: LiveVms,
     /// Reports queued for other VMs.
-    queued: News,
+    queued: Update,
 }
 
 /// The hash that identifies a service or an upstream in messages between VMs.
-pub fn name(text: &str) -> u32 {
+pub fn hash_name(text: &str) -> u32 {
     xxh3_64(text.as_bytes()) as u32
 }
 
-impl Ledger {
+impl Tracker {
     /// Whether there is no record of any request.
     pub fn is_empty(&self) -> bool {
         self.records == 0
@@ -108,7 +108,7 @@
     /// upstream at a time; that counts as a trial.
     pub fn verdict(&mut self, now: Millis, fingerprint: Fingerprint) -> Verdict {
         let Some(callers) = self.contents.get_mut(&fingerprint.content) else {
-            return Verdict::Free;
+            return Verdict::Allowed;
         };
         for (caller, record) in callers.iter_mut() {
             if *caller == fingerprint.caller {
@@ -118,23 +118,28 @@
         let decision_wait =
             callers.iter().filter_map(|(_, record)| record.overall.decision_wait(now)).max();
         match (self.decide(now, fingerprint, None), decision_wait) {
-            (Verdict::Held(wait), _) => Verdict::Held(wait),
-            (_, Some(wait)) => Verdict::Held(wait),
+            (Verdict::Rejected(wait), _) => Verdict::Rejected(wait),
+            (_, Some(wait)) => Verdict::Rejected(wait),
             (verdict, None) => verdict,
         }
     }
 
     /// Decides what may be done with a request's part at a service.
-    pub fn part(&mut self, now: Millis, fingerprint: Fingerprint, service: &str) -> Verdict {
+    pub fn part_verdict(
+        &mut self,
+        now: Millis,
+        fingerprint: Fingerprint,
+        service: &str,
+    ) -> Verdict {
         if self.is_empty() {
-            Verdict::Free
+            Verdict::Allowed
         } else {
-            self.decide(now, fingerprint, Some(name(service)))
+            self.decide(now, fingerprint, Some(hash_name(service)))
         }
     }
 
     /// Whether a request is quarantined as a whole.
-    pub fn holds(&self, fingerprint: Fingerprint) -> bool {
+    pub fn is_quarantined(&self, fingerprint: Fingerprint) -> bool {
         !self.is_empty() && self.applicable_quarantines(fingerprint, None).next().is_some()
     }
 
@@ -144,35 +149,40 @@
     }
 
     /// The known rounds of a request, at a service and in all.
-    pub fn known(&self, fingerprint: Fingerprint, service: &str) -> Seen {
+    pub fn known_rounds(&self, fingerprint: Fingerprint, service: &str) -> Rounds {
         if self.is_empty() {
-            return Seen::default();
+            return Rounds::default();
         }
-        let service = self.rounds_at(fingerprint, Some(name(service)));
-        Seen { all: self.rounds_at(fingerprint, None), service }
+        let service = self.rounds_at(fingerprint, Some(hash_name(service)));
+        Rounds { total: self.rounds_at(fingerprint, None), service }
     }
 
     /// Records an upstream that ended under a request, as this VM saw or another VM reported.
-    pub fn ended(&mut self, now: Millis, end: &End) -> Change {
-        let record = self.record_or_insert(now, end.print);
-        if !record.add_ended(end.upstream) {
-            return Change::None;
+    pub fn record_end(&mut self, now: Millis, termination: &Termination) -> Change {
+        let record = self.record_or_insert(now, termination.fingerprint);
+        if !record.add_ended(termination.upstream) {
+            return Change::Unchanged;
+        }
+        let everywhere = record.overall.upstream_ended(now, termination.rounds.total);
+        let at_service = record
+            .evidence_at_mut(Some(termination.service))
+            .upstream_ended(now, termination.rounds.service);
+        enqueue(&mut self.queued.terminations, *termination);
+        if everywhere || at_service {
+            Change::Quarantined { everywhere }
+        } else {
+            Change::UpstreamEnded
         }
-        let everywhere = record.overall.upstream_ended(now, end.seen.all);
-        let at_service =
-            record.evidence_at_mut(Some(end.service)).upstream_ended(now, end.seen.service);
-        enqueue(&mut self.queued.ends, *end);
-        if everywhere || at_service { Change::Held { all: everywhere } } else { Change::Ended }
     }
 
     /// Records that an upstream of a service answered a request, with whatever reply. Upstreams do not see the caller,
     /// so no other caller's request with this content ends them either. Returns whether that released a quarantined
     /// request.
-    pub fn answered(&mut self, now: Millis, fingerprint: Fingerprint, service: &str) -> bool {
+    pub fn record_answer(&mut self, now: Millis, fingerprint: Fingerprint, service: &str) -> bool {
         if self.is_empty() {
             return false;
         }
-        let service = name(service);
+        let service = hash_name(service);
         let quorum = [None, Some(service)]
             .map(|at| self.applicable_quarantines(fingerprint, at).count() >= CALLER_QUORUM);
         let Some(callers) = self.contents.get_mut(&fingerprint.content) else { return false };
@@ -189,7 +199,7 @@
                 if here && (applies || !evidence.is_quarantined()) && evidence.clear() {
                     released = true;
                     enqueue(
-                        &mut self.queued.holds,
+                        &mut self.queued.states,
                         evidence.state(now, QuarantineState { service: at, ..of }),
                     );
                 }
@@ -200,14 +210,18 @@
 
     /// Adopts another VM's state of a request that was quarantined or released there.
     pub fn merge(&mut self, now: Millis, state: &QuarantineState) -> Change {
-        let record = self.record_or_insert(now, state.print);
+        let record = self.record_or_insert(now, state.fingerprint);
         let evidence = record.evidence_at_mut(state.service);
         if !evidence.merge(now, state) {
-            return Change::None;
+            return Change::Unchanged;
         }
         let quarantined = evidence.is_quarantined();
-        enqueue(&mut self.queued.holds, *state);
-        if quarantined { Change::Held { all: state.service.is_none() } } else { Change::Released }
+        enqueue(&mut self.queued.states, *state);
+        if quarantined {
+            Change::Quarantined { everywhere: state.service.is_none() }
+        } else {
+            Change::Released
+        }
     }
 
     /// Releases one caller's request. Returns whether it was quarantined.
@@ -224,25 +238,25 @@
                 )
             })
             .collect();
-        released.iter().for_each(|state| enqueue(&mut self.queued.holds, *state));
+        released.iter().for_each(|state| enqueue(&mut self.queued.states, *state));
         !released.is_empty()
     }
 
     /// Takes queued reports for other VMs, at most one packet of them.
-    pub fn take_news(&mut self) -> Option<News> {
-        let ends = self.queued.ends.len().min(MAX_UPDATE_ENTRIES);
-        let holds = self.queued.holds.len().min(MAX_UPDATE_ENTRIES);
-        let update = News {
-            ends: self.queued.ends.drain(..ends).collect(),
-            holds: self.queued.holds.drain(..holds).collect(),
+    pub fn take_update(&mut self) -> Option<Update> {
+        let terminations = self.queued.terminations.len().min(MAX_UPDATE_ENTRIES);
+        let states = self.queued.states.len().min(MAX_UPDATE_ENTRIES);
+        let update = Update {
+            terminations: self.queued.terminations.drain(..terminations).collect(),
+            states: self.queued.states.drain(..states).collect(),
         };
         (!update.is_empty()).then_some(update)
     }
 
     /// One packet of the states of requests that were quarantined or released, starting with number `from`, for VMs
     /// that may have missed them.
-    pub fn holds_from(&self, now: Millis, from: usize) -> Vec<QuarantineState> {
-        let mut all = self.holds_all(now);
+    pub fn states_from(&self, now: Millis, from: usize) -> Vec<QuarantineState> {
+        let mut all = self.all_states(now);
         let from = if all.is_empty() { 0 } else { from % all.len() };
         all.rotate_left(from);
         all.truncate(MAX_UPDATE_ENTRIES);
@@ -250,7 +264,7 @@
     }
 
     /// The states of all requests that were quarantined or released.
-    pub fn holds_all(&self, now: Millis) -> Vec<QuarantineState> {
+    pub fn all_states(&self, now: Millis) -> Vec<QuarantineState> {
         let mut all = Vec::new();
         for (fingerprint, record) in self.iter() {
             for (service, evidence) in record.all_evidence() {
@@ -267,12 +281,12 @@
     }
 
     /// The quarantined requests.
-    pub fn list(&self, now: Millis) -> Vec<QuarantinedRequest> {
+    pub fn quarantined(&self, now: Millis) -> Vec<QuarantinedRequest> {
         let quarantined = self.iter().filter(|(_, record)| record.is_quarantined());
         let mut list: Vec<QuarantinedRequest> = quarantined
             .map(|(fingerprint, record)| quarantined_request(now, fingerprint, record))
             .collect();
-        list.sort_by_key(|request| request.print);
+        list.sort_by_key(|request| request.fingerprint);
         list
     }
 
@@ -282,7 +296,7 @@
     }
 
     /// Evicts records whose retention time is over.
-    pub fn sweep(&mut self, now: Millis) {
+    pub fn evict_expired(&mut self, now: Millis) {
         for callers in self.contents.values_mut() {
             callers.retain(|(_, record)| {
                 let retention =
@@ -370,7 +384,11 @@
         let callers = self.contents.get(&fingerprint.content).into_iter().flatten();
         let rounds = callers.map(|(caller, record)| {
             // Rounds of another caller's requests limit this one, but alone do not quarantine it.
-            let most = if applies || *caller == fingerprint.caller { LIMIT } else { LIMIT - 1 };
+            let most = if applies || *caller == fingerprint.caller {
+                QUARANTINE_ROUNDS
+            } else {
+                QUARANTINE_ROUNDS - 1
+            };
             record.evidence_at(service).rounds().min(most)
         });
         rounds.max().unwrap_or_default()
@@ -391,7 +409,7 @@
             || trials >= MAX_TRIALS
             || !self.live_vms.is_own_trial(fingerprint.content)
         {
-            return Verdict::Held(evidence.retry_after(now));
+            return Verdict::Rejected(evidence.retry_after(now));
         }
         let of = Fingerprint { caller, ..fingerprint };
         if let Some(record) = self.record_mut(of) {
@@ -399,14 +417,14 @@
             evidence.trial_started(now);
             let state =
                 evidence.state(now, QuarantineState { service, ..QuarantineState::initial(of) });
-            enqueue(&mut self.queued.holds, state);
+            enqueue(&mut self.queued.states, state);
         }
-        Verdict::Careful(LIMIT - 1)
+        Verdict::Limited(QUARANTINE_ROUNDS - 1)
     }
 }
 
 fn limited(rounds: u8) -> Verdict {
-    if rounds == 0 { Verdict::Free } else { Verdict::Careful(rounds.min(LIMIT - 1)) }
+    if rounds == 0 { Verdict::Allowed } else { Verdict::Limited(rounds.min(QUARANTINE_ROUNDS - 1)) }
 }
 
 fn quarantined_request(
@@ -418,11 +436,11 @@
     let quarantined: SmallVec<[&Evidence; 2]> =
         evidence.filter(|evidence| evidence.is_quarantined()).collect();
     QuarantinedRequest {
-        print: fingerprint,
-        all: record.overall.is_quarantined(),
-        ended: record.ended_count(),
+        fingerprint,
+        everywhere: record.overall.is_quarantined(),
+        ended_upstreams: record.ended_count(),
         trials: quarantined.iter().map(|evidence| evidence.trials()).max().unwrap_or_default(),
-        wait: quarantined
+        retry_after: quarantined
             .iter()
             .map(|evidence| evidence.retry_after(now))
             .min()
--- a/crates/tgw-quarantine/tests/fingerprint/mod.rs
+++ b/crates/tgw-quarantine/tests/fingerprint/mod.rs
@@ -16,7 +16,7 @@
 
 #[test]
 fn vms_with_the_same_secret_compute_the_same_fingerprint() {
-    let fingerprint = |secret: &[u8]| Hasher::new(secret).request(1, &content());
+    let fingerprint = |secret: &[u8]| Hasher::new(secret).fingerprint(1, &content());
     assert_eq!(fingerprint(b"secret"), fingerprint(b"secret"));
     assert_ne!(fingerprint(b"secret"), fingerprint(b"another"));
 }
@@ -24,10 +24,10 @@
 #[test]
 fn caller_hash_is_the_same_for_ipv4_and_mapped_ipv6() {
     let hasher = Hasher::new(b"secret");
-    let caller = |address: IpAddr| hasher.caller(address);
+    let caller = |address: IpAddr| hasher.hash_caller(address);
     assert_eq!(caller(CALLER.into()), caller(CALLER.to_ipv6_mapped().into()));
     assert_ne!(caller(CALLER.into()), caller(OTHER_CALLER.into()));
-    assert_ne!(caller(CALLER.into()), Hasher::new(b"another").caller(CALLER.into()));
+    assert_ne!(caller(CALLER.into()), Hasher::new(b"another").hash_caller(CALLER.into()));
 }
 
 #[test_case(Content { method: "PUT", ..content() }; "another method")]
@@ -39,7 +39,7 @@
 #[test_case(Content { target: "/x/1?p=2cab", credentials: b"", body: b"", ..content() }; "a body that passes for a path")]
 fn requests_that_differ_have_different_fingerprints(other: Content<'_>) {
     let hasher = Hasher::new(b"secret");
-    assert_ne!(hasher.request(1, &content()).content, hasher.request(1, &other).content);
+    assert_ne!(hasher.fingerprint(1, &content()).content, hasher.fingerprint(1, &other).content);
 }
 
 #[test]
--- a/crates/tgw-quarantine/tests/ledger/mod.rs
+++ b/crates/tgw-quarantine/tests/ledger/mod.rs
@@ -2,9 +2,9 @@
 
 use tgw_clock::Millis;
 use tgw_quarantine::{
-    Fingerprint, Ledger,
-    ledger::{Change, MAX_RECORDS, Verdict, name},
-    message::{End, Seen},
+    Fingerprint, Tracker,
+    message::{Rounds, Termination},
+    tracker::{Change, MAX_RECORDS, Verdict, hash_name},
 };
 
 const FINGERPRINT: Fingerprint = Fingerprint { content: 7, caller: 1 };
@@ -12,59 +12,65 @@
 /// Longer than a request waits for the send that decides on its quarantine.
 const LATER: Millis = Millis::new(1_000);
 
-pub(crate) fn end(fingerprint: Fingerprint, service: &str, upstream: u32, seen: Seen) -> End {
-    End { print: fingerprint, service: name(service), upstream, seen }
+pub(crate) fn termination(
+    fingerprint: Fingerprint,
+    service: &str,
+    upstream: u32,
+    rounds: Rounds,
+) -> Termination {
+    Termination { fingerprint, service: hash_name(service), upstream, rounds }
 }
 
-/// Ends an upstream of `service` under a send that this ledger allowed.
-fn end_upstream(ledger: &mut Ledger, service: &str, upstream: u32) -> Change {
-    let seen = ledger.known(FINGERPRINT, service);
-    ledger.ended(Millis::ZERO, &end(FINGERPRINT, service, upstream, seen))
+/// Ends an upstream of `service` under a send that this tracker allowed.
+fn end_upstream(tracker: &mut Tracker, service: &str, upstream: u32) -> Change {
+    let rounds = tracker.known_rounds(FINGERPRINT, service);
+    tracker.record_end(Millis::ZERO, &termination(FINGERPRINT, service, upstream, rounds))
 }
 
-/// A ledger with one quarantined request: upstreams of three services ended under it, one after the other.
-fn quarantined_ledger() -> Ledger {
-    let mut ledger = Ledger::default();
+/// A tracker with one quarantined request: upstreams of three services ended under it, one after the other.
+fn quarantined_tracker() -> Tracker {
+    let mut tracker = Tracker::default();
     for number in 0..3 {
-        end_upstream(&mut ledger, &format!("s{number}"), number);
+        end_upstream(&mut tracker, &format!("s{number}"), number);
     }
-    ledger
+    tracker
 }
 
 // A rack loses power while a search runs on ten of its upstreams. None of these sends knew of another, so they count
 // as one round: the search is limited to one upstream at a time, not quarantined.
 #[test]
 fn simultaneous_upstream_ends_make_one_round() {
-    let mut ledger = Ledger::default();
+    let mut tracker = Tracker::default();
     for upstream in 0..10 {
-        let end = end(FINGERPRINT, &format!("s{upstream}"), upstream, Seen::default());
-        assert_eq!(ledger.ended(Millis::ZERO, &end), Change::Ended);
+        let termination =
+            termination(FINGERPRINT, &format!("s{upstream}"), upstream, Rounds::default());
+        assert_eq!(tracker.record_end(Millis::ZERO, &termination), Change::UpstreamEnded);
     }
-    assert_eq!(ledger.verdict(LATER, FINGERPRINT), Verdict::Careful(1));
-    assert!(!ledger.answered(LATER, FINGERPRINT, "s0"));
-    assert_eq!(ledger.verdict(LATER, FINGERPRINT), Verdict::Free);
+    assert_eq!(tracker.verdict(LATER, FINGERPRINT), Verdict::Limited(1));
+    assert!(!tracker.record_answer(LATER, FINGERPRINT, "s0"));
+    assert_eq!(tracker.verdict(LATER, FINGERPRINT), Verdict::Allowed);
 }
 
 #[test]
 fn third_round_quarantines_a_request_and_gives_a_retry_time() {
-    let mut ledger = Ledger::default();
-    assert_eq!(end_upstream(&mut ledger, "s0", 0), Change::Ended);
-    assert_eq!(end_upstream(&mut ledger, "s1", 1), Change::Ended);
-    assert_eq!(end_upstream(&mut ledger, "s2", 2), Change::Held { all: true });
-    assert!(matches!(ledger.verdict(LATER, FINGERPRINT), Verdict::Held(wait) if wait > LATER));
-    assert_eq!(ledger.list(LATER).len(), 1);
+    let mut tracker = Tracker::default();
+    assert_eq!(end_upstream(&mut tracker, "s0", 0), Change::UpstreamEnded);
+    assert_eq!(end_upstream(&mut tracker, "s1", 1), Change::UpstreamEnded);
+    assert_eq!(end_upstream(&mut tracker, "s2", 2), Change::Quarantined { everywhere: true });
+    assert!(matches!(tracker.verdict(LATER, FINGERPRINT), Verdict::Rejected(wait) if wait > LATER));
+    assert_eq!(tracker.quarantined(LATER).len(), 1);
 }
 
 // A popular search is always in flight while ten racks fail one after the other, each with upstreams that run it. The
 // answers in between clear the rounds, so that they do not add up to a quarantine.
 #[test]
 fn answers_between_rack_failures_keep_a_popular_request_allowed() {
-    let mut ledger = Ledger::default();
+    let mut tracker = Tracker::default();
     for rack in 0..10 {
-        end_upstream(&mut ledger, "s0", rack);
-        assert!(matches!(ledger.verdict(LATER, FINGERPRINT), Verdict::Careful(1)));
-        ledger.answered(LATER, FINGERPRINT, "s0");
-        assert_eq!(ledger.verdict(LATER, FINGERPRINT), Verdict::Free);
+        end_upstream(&mut tracker, "s0", rack);
+        assert!(matches!(tracker.verdict(LATER, FINGERPRINT), Verdict::Limited(1)));
+        tracker.record_answer(LATER, FINGERPRINT, "s0");
+        assert_eq!(tracker.verdict(LATER, FINGERPRINT), Verdict::Allowed);
     }
 }
 
@@ -72,27 +78,27 @@
 // and the search goes on without it.
 #[test]
 fn request_that_ends_one_service_is_quarantined_only_there() {
-    let mut ledger = Ledger::default();
+    let mut tracker = Tracker::default();
     for upstream in 0..3 {
-        end_upstream(&mut ledger, "bad", upstream);
-        ledger.answered(LATER, FINGERPRINT, "good");
+        end_upstream(&mut tracker, "bad", upstream);
+        tracker.record_answer(LATER, FINGERPRINT, "good");
     }
-    assert!(matches!(ledger.part(LATER, FINGERPRINT, "bad"), Verdict::Held(_)));
-    assert_eq!(ledger.part(LATER, FINGERPRINT, "good"), Verdict::Free);
-    assert_eq!(ledger.verdict(LATER, FINGERPRINT), Verdict::Free);
+    assert!(matches!(tracker.part_verdict(LATER, FINGERPRINT, "bad"), Verdict::Rejected(_)));
+    assert_eq!(tracker.part_verdict(LATER, FINGERPRINT, "good"), Verdict::Allowed);
+    assert_eq!(tracker.verdict(LATER, FINGERPRINT), Verdict::Allowed);
 }
 
 // Two callers send the same search, which is quarantined for one. The other's is not rejected, but sent to one upstream
 // at a time, as upstreams do not see the caller.
 #[test]
 fn other_callers_request_is_limited_but_not_quarantined() {
-    let mut ledger = quarantined_ledger();
-    assert_eq!(ledger.verdict(LATER, OTHER_CALLER), Verdict::Careful(2));
-    let seen = ledger.known(OTHER_CALLER, "s0");
-    let change = ledger.ended(LATER, &end(OTHER_CALLER, "s0", 9, seen));
+    let mut tracker = quarantined_tracker();
+    assert_eq!(tracker.verdict(LATER, OTHER_CALLER), Verdict::Limited(2));
+    let rounds = tracker.known_rounds(OTHER_CALLER, "s0");
+    let change = tracker.record_end(LATER, &termination(OTHER_CALLER, "s0", 9, rounds));
     assert_eq!(
         change,
-        Change::Held { all: true },
+        Change::Quarantined { everywhere: true },
         "after one more upstream, not three more rounds"
     );
 }
@@ -101,31 +107,37 @@
 // another caller, each new one would end one more upstream. Quarantines of two callers apply to all.
 #[test]
 fn two_quarantined_callers_quarantine_a_request_for_all() {
-    let mut ledger = quarantined_ledger();
-    ledger.ended(LATER, &end(OTHER_CALLER, "s0", 9, ledger.known(OTHER_CALLER, "s0")));
+    let mut tracker = quarantined_tracker();
+    tracker.record_end(
+        LATER,
+        &termination(OTHER_CALLER, "s0", 9, tracker.known_rounds(OTHER_CALLER, "s0")),
+    );
     let third = Fingerprint { caller: 3, ..FINGERPRINT };
-    assert!(matches!(ledger.verdict(LATER + LATER, third), Verdict::Held(_)));
-    assert!(ledger.holds(third));
+    assert!(matches!(tracker.verdict(LATER + LATER, third), Verdict::Rejected(_)));
+    assert!(tracker.is_quarantined(third));
     let another = Fingerprint { content: 8, ..FINGERPRINT };
-    assert_eq!(ledger.verdict(LATER, another), Verdict::Free);
+    assert_eq!(tracker.verdict(LATER, another), Verdict::Allowed);
 }
 
 // A request is quarantined for several callers. It is tried twice in all, not twice per caller, and one answered trial
 // releases it for all of them.
 #[test]
 fn trials_and_release_apply_to_all_callers() {
-    let mut ledger = quarantined_ledger();
-    ledger.ended(LATER, &end(OTHER_CALLER, "s0", 9, ledger.known(OTHER_CALLER, "s0")));
+    let mut tracker = quarantined_tracker();
+    tracker.record_end(
+        LATER,
+        &termination(OTHER_CALLER, "s0", 9, tracker.known_rounds(OTHER_CALLER, "s0")),
+    );
     let third = Fingerprint { caller: 3, ..FINGERPRINT };
-    let trials = |ledger: &mut Ledger, fingerprint| {
+    let trials = |tracker: &mut Tracker, fingerprint| {
         let minutes = (0..600).map(|minute| Millis::new(minute * 60_000));
-        minutes.filter(|now| ledger.verdict(*now, fingerprint) == Verdict::Careful(2)).count()
+        minutes.filter(|now| tracker.verdict(*now, fingerprint) == Verdict::Limited(2)).count()
     };
-    assert_eq!(trials(&mut ledger, third), 2);
-    assert_eq!(trials(&mut ledger, OTHER_CALLER), 0);
-    assert!(ledger.answered(LATER, third, "s0"));
+    assert_eq!(trials(&mut tracker, third), 2);
+    assert_eq!(trials(&mut tracker, OTHER_CALLER), 0);
+    assert!(tracker.record_answer(LATER, third, "s0"));
     for fingerprint in [FINGERPRINT, OTHER_CALLER, third] {
-        assert!(!ledger.holds(fingerprint));
+        assert!(!tracker.is_quarantined(fingerprint));
     }
 }
 
@@ -133,13 +145,13 @@
 // another VM at once. The report of the third upstream is in flight: a new start would end a fourth one.
 #[test]
 fn request_waits_while_the_deciding_send_is_in_flight() {
-    let mut ledger = Ledger::default();
-    end_upstream(&mut ledger, "s0", 0);
-    end_upstream(&mut ledger, "s1", 1);
+    let mut tracker = Tracker::default();
+    end_upstream(&mut tracker, "s0", 0);
+    end_upstream(&mut tracker, "s1", 1);
     assert!(
-        matches!(ledger.verdict(Millis::new(10), FINGERPRINT), Verdict::Held(wait) if wait < LATER)
+        matches!(tracker.verdict(Millis::new(10), FINGERPRINT), Verdict::Rejected(wait) if wait < LATER)
     );
-    assert_eq!(ledger.verdict(LATER, FINGERPRINT), Verdict::Careful(2));
+    assert_eq!(tracker.verdict(LATER, FINGERPRINT), Verdict::Limited(2));
 }
 
 // The upstreams' next version may be able to run the request. One VM tries it again after minutes, with one send; if
@@ -147,26 +159,26 @@
 #[test]
 fn quarantined_request_is_tried_twice_by_one_vm() {
     const DAY_MS: u64 = 86_400_000;
-    let (mut first, mut second) = (quarantined_ledger(), quarantined_ledger());
+    let (mut first, mut second) = (quarantined_tracker(), quarantined_tracker());
     first.set_vms(1, vec![2]);
     second.set_vms(2, vec![1]);
     let mut trials = Vec::new();
     for minute in 0..300 {
         let now = Millis::new(minute * 60_000);
-        for ledger in [&mut first, &mut second] {
-            if ledger.verdict(now, FINGERPRINT) == Verdict::Careful(2) {
+        for tracker in [&mut first, &mut second] {
+            if tracker.verdict(now, FINGERPRINT) == Verdict::Limited(2) {
                 trials.push(minute);
             }
         }
-        let updates = [first.take_news(), second.take_news()].into_iter().flatten();
-        for state in updates.flat_map(|update| update.holds) {
+        let updates = [first.take_update(), second.take_update()].into_iter().flatten();
+        for state in updates.flat_map(|update| update.states) {
             first.merge(now, &state);
             second.merge(now, &state);
         }
     }
     assert_eq!(trials, [10, 30]);
     let after = first.verdict(Millis::new(DAY_MS), FINGERPRINT);
-    assert!(matches!(after, Verdict::Held(wait) if wait > LATER), "{after:?}");
+    assert!(matches!(after, Verdict::Rejected(wait) if wait > LATER), "{after:?}");
 }
 
 // A trial is answered, as the upstreams can run the request now. It is released on all VMs, and late reports of the
@@ -174,52 +186,52 @@
 #[test]
 fn answered_trial_releases_a_request_on_all_vms() {
     let now = Millis::new(600_000);
-    let (mut first, mut second) = (quarantined_ledger(), quarantined_ledger());
-    let old: Vec<End> = first.take_news().unwrap().ends;
-    assert_eq!(first.verdict(now, FINGERPRINT), Verdict::Careful(2));
-    assert!(first.answered(now, FINGERPRINT, "s0"));
-    let update = first.take_news().unwrap();
-    let changes: Vec<Change> = update.holds.iter().map(|state| second.merge(now, state)).collect();
+    let (mut first, mut second) = (quarantined_tracker(), quarantined_tracker());
+    let old: Vec<Termination> = first.take_update().unwrap().terminations;
+    assert_eq!(first.verdict(now, FINGERPRINT), Verdict::Limited(2));
+    assert!(first.record_answer(now, FINGERPRINT, "s0"));
+    let update = first.take_update().unwrap();
+    let changes: Vec<Change> = update.states.iter().map(|state| second.merge(now, state)).collect();
     assert!(changes.contains(&Change::Released), "{changes:?}");
-    for end in old {
-        assert_eq!(second.ended(now, &end), Change::None);
+    for termination in old {
+        assert_eq!(second.record_end(now, &termination), Change::Unchanged);
     }
-    assert_eq!(second.verdict(now, FINGERPRINT), Verdict::Free);
-    assert!(second.list(now).is_empty());
+    assert_eq!(second.verdict(now, FINGERPRINT), Verdict::Allowed);
+    assert!(second.quarantined(now).is_empty());
 }
 
 #[test]
 fn operators_release_a_request() {
-    let mut ledger = quarantined_ledger();
-    assert!(ledger.release(LATER, FINGERPRINT));
-    assert!(!ledger.release(LATER, FINGERPRINT));
-    assert_eq!(ledger.verdict(LATER, FINGERPRINT), Verdict::Free);
+    let mut tracker = quarantined_tracker();
+    assert!(tracker.release(LATER, FINGERPRINT));
+    assert!(!tracker.release(LATER, FINGERPRINT));
+    assert_eq!(tracker.verdict(LATER, FINGERPRINT), Verdict::Allowed);
 }
 
 // A caller sends ten thousand different requests, each of which ends an upstream. Memory and the report queue stay
 // bounded, and the request that is quarantined already is not evicted.
 #[test]
 fn ten_thousand_distinct_requests_take_bounded_memory() {
-    let mut ledger = quarantined_ledger();
+    let mut tracker = quarantined_tracker();
     for number in 0..10_000 {
         let fingerprint = Fingerprint { content: 1_000 + u64::from(number), caller: number };
-        ledger.ended(LATER, &end(fingerprint, "s", number, Seen::default()));
+        tracker.record_end(LATER, &termination(fingerprint, "s", number, Rounds::default()));
     }
-    assert_eq!(ledger.counts(), (1, MAX_RECORDS));
-    assert!(ledger.holds(FINGERPRINT));
+    assert_eq!(tracker.counts(), (1, MAX_RECORDS));
+    assert!(tracker.is_quarantined(FINGERPRINT));
     let mut reports = 0;
-    while let Some(update) = ledger.take_news() {
-        reports += update.ends.len();
+    while let Some(update) = tracker.take_update() {
+        reports += update.terminations.len();
     }
     assert!(reports < MAX_RECORDS, "{reports} reports queued");
 }
 
 #[test]
 fn unused_records_are_evicted() {
-    let mut ledger = Ledger::default();
-    end_upstream(&mut ledger, "s0", 0);
-    ledger.sweep(Millis::new(599_000));
-    assert!(!ledger.is_empty());
-    ledger.sweep(Millis::new(601_000));
-    assert!(ledger.is_empty());
+    let mut tracker = Tracker::default();
+    end_upstream(&mut tracker, "s0", 0);
+    tracker.evict_expired(Millis::new(599_000));
+    assert!(!tracker.is_empty());
+    tracker.evict_expired(Millis::new(601_000));
+    assert!(tracker.is_empty());
 }
--- a/crates/tgw-quarantine/tests/reports/mod.rs
+++ b/crates/tgw-quarantine/tests/reports/mod.rs
@@ -1,22 +1,22 @@
 //! Reports between VMs, in any order.
 
-use crate::ledger::end;
+use crate::ledger::termination;
 use proptest::prelude::*;
 use tgw_clock::Millis;
 use tgw_quarantine::{
-    Fingerprint, Ledger,
-    ledger::Verdict,
-    message::{End, News, QuarantineState, Seen},
+    Fingerprint, Tracker,
+    message::{QuarantineState, Rounds, Termination, Update},
+    tracker::Verdict,
 };
 
 const FINGERPRINT: Fingerprint = Fingerprint { content: 7, caller: 1 };
 /// Longer than a request waits for the send that decides on its quarantine.
 const LATER: Millis = Millis::new(1_000);
 
-fn reports() -> impl Strategy<Value = Vec<End>> {
+fn reports() -> impl Strategy<Value = Vec<Termination>> {
     let one = (0u8..4, 0u8..4, 0u32..3, 0u32..40);
-    let report = one.prop_map(|(all, service, number, upstream)| {
-        end(FINGERPRINT, &format!("s{number}"), upstream, Seen { all, service })
+    let report = one.prop_map(|(total, service, number, upstream)| {
+        termination(FINGERPRINT, &format!("s{number}"), upstream, Rounds { total, service })
     });
     // All VMs report the same about one upstream.
     prop::collection::vec(report, 0..12).prop_map(|mut reports| {
@@ -26,9 +26,9 @@
     })
 }
 
-fn verdicts(ledger: &mut Ledger) -> [Verdict; 4] {
-    let parts = ["s0", "s1", "s2"].map(|service| ledger.part(LATER, FINGERPRINT, service));
-    [ledger.verdict(LATER, FINGERPRINT), parts[0], parts[1], parts[2]]
+fn verdicts(tracker: &mut Tracker) -> [Verdict; 4] {
+    let parts = ["s0", "s1", "s2"].map(|service| tracker.part_verdict(LATER, FINGERPRINT, service));
+    [tracker.verdict(LATER, FINGERPRINT), parts[0], parts[1], parts[2]]
 }
 
 proptest! {
@@ -39,9 +39,9 @@
         order in any::<prop::sample::Index>(),
         twice in any::<prop::sample::Index>(),
     ) {
-        let (mut one, mut other) = (Ledger::default(), Ledger::default());
+        let (mut one, mut other) = (Tracker::default(), Tracker::default());
         for report in &reports {
-            one.ended(Millis::ZERO, report);
+            one.record_end(Millis::ZERO, report);
         }
         let mut shuffled = reports.clone();
         if !reports.is_empty() {
@@ -50,7 +50,7 @@
             shuffled.reverse();
         }
         for report in &shuffled {
-            other.ended(Millis::ZERO, report);
+            other.record_end(Millis::ZERO, report);
         }
         prop_assert_eq!(verdicts(&mut one), verdicts(&mut other));
     }
@@ -59,16 +59,16 @@
     // would circulate without end.
     #[test]
     fn forwarded_reports_stop_circulating(reports in reports()) {
-        let mut vms = [(); 3].map(|()| Ledger::default());
+        let mut vms = [(); 3].map(|()| Tracker::default());
         for report in &reports {
-            vms[0].ended(Millis::ZERO, report);
+            vms[0].record_end(Millis::ZERO, report);
         }
         let mut sent = 0;
         loop {
-            let queued: Vec<(usize, News)> = vms
+            let queued: Vec<(usize, Update)> = vms
                 .iter_mut()
                 .enumerate()
-                .filter_map(|(vm, ledger)| Some((vm, ledger.take_news()?)))
+                .filter_map(|(vm, tracker)| Some((vm, tracker.take_update()?)))
                 .collect();
             if queued.is_empty() {
                 break;
@@ -76,12 +76,12 @@
             for (from, update) in queued {
                 sent += 1;
                 prop_assert!(sent <= 3 * (reports.len() + 1));
-                for (_, ledger) in vms.iter_mut().enumerate().filter(|(vm, _)| *vm != from) {
-                    for end in &update.ends {
-                        ledger.ended(Millis::ZERO, end);
+                for (_, tracker) in vms.iter_mut().enumerate().filter(|(vm, _)| *vm != from) {
+                    for termination in &update.terminations {
+                        tracker.record_end(Millis::ZERO, termination);
                     }
-                    for state in &update.holds {
-                        ledger.merge(Millis::ZERO, state);
+                    for state in &update.states {
+                        tracker.merge(Millis::ZERO, state);
                     }
                 }
             }
@@ -94,18 +94,18 @@
         epoch in any::<u16>(),
         trials in any::<u8>(),
         wait in any::<u32>(),
-        all in any::<u8>(),
+        total in any::<u8>(),
         service in any::<u8>(),
     ) {
-        let mut ledger = Ledger::default();
-        let state = QuarantineState { print: FINGERPRINT, service: None, epoch, trials, wait };
-        ledger.merge(LATER, &state);
-        ledger.merge(LATER, &QuarantineState { service: Some(3), ..state });
-        ledger.ended(LATER, &end(FINGERPRINT, "s0", 1, Seen { all, service }));
-        ledger.verdict(Millis::MAX, FINGERPRINT);
-        ledger.answered(LATER, FINGERPRINT, "s0");
-        ledger.release(LATER, FINGERPRINT);
-        prop_assert!(ledger.list(LATER).is_empty());
+        let mut tracker = Tracker::default();
+        let state = QuarantineState { fingerprint: FINGERPRINT, service: None, epoch, trials, wait };
+        tracker.merge(LATER, &state);
+        tracker.merge(LATER, &QuarantineState { service: Some(3), ..state });
+        tracker.record_end(LATER, &termination(FINGERPRINT, "s0", 1, Rounds { total, service }));
+        tracker.verdict(Millis::MAX, FINGERPRINT);
+        tracker.record_answer(LATER, FINGERPRINT, "s0");
+        tracker.release(LATER, FINGERPRINT);
+        prop_assert!(tracker.quarantined(LATER).is_empty());
     }
 }
 
@@ -113,19 +113,19 @@
 // enough for it, and a state that it has already is not forwarded again.
 #[test]
 fn repeated_states_inform_a_vm_that_missed_the_reports() {
-    let mut ledger = Ledger::default();
+    let mut tracker = Tracker::default();
     for number in 0..3 {
-        let seen = ledger.known(FINGERPRINT, "s0");
-        ledger.ended(Millis::ZERO, &end(FINGERPRINT, "s0", number, seen));
+        let rounds = tracker.known_rounds(FINGERPRINT, "s0");
+        tracker.record_end(Millis::ZERO, &termination(FINGERPRINT, "s0", number, rounds));
     }
-    let mut behind = Ledger::default();
-    for state in ledger.holds_from(LATER, 0) {
+    let mut behind = Tracker::default();
+    for state in tracker.states_from(LATER, 0) {
         behind.merge(LATER, &state);
     }
-    assert_eq!(verdicts(&mut behind)[0], verdicts(&mut ledger)[0]);
-    while behind.take_news().is_some() {}
-    for state in ledger.holds_from(Millis::ZERO, 0) {
+    assert_eq!(verdicts(&mut behind)[0], verdicts(&mut tracker)[0]);
+    while behind.take_update().is_some() {}
+    for state in tracker.states_from(Millis::ZERO, 0) {
         behind.merge(LATER, &state);
     }
-    assert_eq!(behind.take_news(), None);
+    assert_eq!(behind.take_update(), None);
 }
--- a/crates/tgw-spread/src/hop.rs
+++ b/crates/tgw-spread/src/hop.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 use tgw_forward::load::Load;
-use tgw_quarantine::{Fingerprint, message::Seen};
+use tgw_quarantine::{Fingerprint, message::Rounds};
 
 /// Asks a VM to send a request to one upstream.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -35,7 +35,7 @@
     /// Fingerprint of the request; the receiver cannot compute it, as it does not know the caller.
     pub print: Fingerprint,
     /// Rounds in which upstreams ended under the request, as the sender knows them.
-    pub seen: Seen,
+    pub seen: Rounds,
 }
 
 /// The result of a [`Request`].
--- a/crates/tgw-spread/src/message.rs
+++ b/crates/tgw-spread/src/message.rs
@@ -64,7 +64,7 @@
     /// The versions that the sender holds.
     Found(Found),
     /// Upstreams that ended under requests, and quarantined requests.
-    Quarantine(quarantine::News),
+    Quarantine(quarantine::Update),
 }
 
 /// A report on an overdue or slow upstream.
--- a/crates/tgw-spread/tests/spread.rs
+++ b/crates/tgw-spread/tests/spread.rs
@@ -15,7 +15,7 @@
 use tgw_forward::{Fleet, upstream::Entry};
 use tgw_quarantine::{
     Fingerprint,
-    message::{End, News, QuarantineState, Seen},
+    message::{QuarantineState, Rounds, Termination, Update},
 };
 use tgw_route::{Config, Residency, Route, Safety, Target};
 use tgw_spread::{
@@ -182,7 +182,7 @@
         headers: vec![("host".into(), b"a.example".to_vec())],
         body: vec![1, 2],
         print: Fingerprint { content: 7, caller: 8 },
-        seen: Seen { all: 1, service: 2 },
+        seen: Rounds { total: 1, service: 2 },
     };
     let outcome = hop::Outcome::Answered {
         status: 200,
@@ -191,12 +191,11 @@
         body: vec![3; 32],
     };
     let report = Late { upstream: "u".into(), started: 3, overdue: true, expected: 12.0 };
-    let (fingerprint, seen) = (request.print, request.seen);
-    let ends = vec![End { print: fingerprint, service: 3, upstream: 4, seen }];
-    let holds =
-        vec![QuarantineState { print: fingerprint, service: None, epoch: 1, trials: 0, wait: 9 }];
+    let (fingerprint, rounds) = (request.print, request.seen);
+    let terminations = vec![Termination { fingerprint, service: 3, upstream: 4, rounds }];
+    let states = vec![QuarantineState { fingerprint, service: None, epoch: 1, trials: 0, wait: 9 }];
     vec![
-        Datagram::Quarantine(News { ends, holds }),
+        Datagram::Quarantine(Update { terminations, states }),
         Datagram::Hop(Box::new(request)),
         Datagram::HopEnded(Box::new(hop::Reply { number: 7, outcome })),
         Datagram::HopCancelled(7),
