--- a/crates/tgw-bench/src/leaving/acting.rs
+++ b/crates/tgw-bench/src/leaving/acting.rs
@@ -9,7 +9,10 @@
 use tgw_clock::Millis;
 use tgw_forward::upstream::Entry;
 use tgw_member::Event;
-use tgw_spread::follow::{LOST_NEAR, MARGIN, PROBE_EVERY, PROBE_REPLY, Probed, Step};
+use tgw_spread::store_reads::{
+    PROBE_INTERVAL_MS, PROBE_TIMEOUT_MS, ProbeResult, Step, TAKEOVER_OUTAGE_VMS,
+    WATCH_REPLY_MARGIN_MS,
+};
 
 /// One way between VMs, from the users' networks: within a region and between two.
 pub(super) const NEAR: Millis = Millis::from_micros(1_400);
@@ -24,9 +27,9 @@
         if seat.call.is_some() {
             return;
         }
-        let step = seat.follow.next(self.now, seat.turn());
+        let step = seat.schedule.next_step(self.now, seat.rank());
         match step {
-            Step::Idle(time) | Step::Pause(time) => self.step_at(vm, self.now + time),
+            Step::Idle(time) | Step::Backoff(time) => self.step_at(vm, self.now + time),
             Step::List | Step::Watch { .. } => self.call(vm, step),
         }
     }
@@ -46,7 +49,7 @@
             Step::Watch { wait, .. } => wait,
             _ => Millis::ZERO,
         };
-        let limit = if waits > Millis::ZERO { MARGIN } else { CALL };
+        let limit = if waits > Millis::ZERO { WATCH_REPLY_MARGIN_MS } else { CALL };
         self.at(self.now + waits + limit, Due::Failed(vm, number));
         if waits > Millis::ZERO {
             // A watch that ends without news.
@@ -56,16 +59,16 @@
 
     /// A VM that follows the store asks whether it answers.
     pub(super) fn probe(&mut self, vm: usize) {
-        self.at(self.now + PROBE_EVERY, Due::Probe(vm));
+        self.at(self.now + PROBE_INTERVAL_MS, Due::Probe(vm));
         if self.vms[vm].relay != Some(true) {
             return;
         }
-        let (after, probed) = match self.treats(vm) {
-            None => (self.answer(), Probed::Answered),
-            Some(What::Refused) => (STORE, Probed::Refused),
-            Some(_) => (PROBE_REPLY, Probed::Silent),
+        let (after, result) = match self.treats(vm) {
+            None => (self.answer(), ProbeResult::Answered),
+            Some(What::Refused) => (STORE, ProbeResult::Refused),
+            Some(_) => (PROBE_TIMEOUT_MS, ProbeResult::TimedOut),
         };
-        self.at(self.now + after, Due::Probed(vm, probed));
+        self.at(self.now + after, Due::Probed(vm, result));
     }
 
     /// Ends a call, if it is still under way.
@@ -86,12 +89,12 @@
             return;
         }
         let seat = &mut self.vms[vm];
-        if seat.member.blind_near() >= LOST_NEAR {
-            seat.known.note(|known| known.lost(self.now));
+        if seat.member.blind_near() >= TAKEOVER_OUTAGE_VMS {
+            seat.known.note(|known| known.record_store_failure(self.now));
         }
-        seat.follow.listed(version);
-        seat.sight.read(seat.known.way());
-        seat.known.listed(self.now, version, entries);
+        seat.schedule.record_list(version);
+        seat.reachability.record_list(seat.known.read_mode());
+        seat.known.apply_list(self.now, version, entries);
         self.tell(vm);
         self.step(vm);
     }
@@ -108,9 +111,9 @@
         }
         let seat = &mut self.vms[vm];
         let news = !changes.is_empty();
-        seat.known.note(|known| known.answered(self.now));
-        changes.into_iter().for_each(|change| seat.known.changed(self.now, version, change));
-        seat.follow.watched(self.now, version, news);
+        seat.known.note(|known| known.record_store_answer(self.now));
+        changes.into_iter().for_each(|change| seat.known.apply_change(self.now, version, change));
+        seat.schedule.record_watch(self.now, version, news);
         if news {
             self.tell(vm);
         }
@@ -124,17 +127,17 @@
         let blind_near = seat.member.blind_near();
         match step {
             Step::List => {
-                seat.known.note(|known| known.lost(self.now));
-                seat.follow.failed(self.now, blind_near);
-                seat.sight.note(seat.known.way(), seat.follow.is_blind());
+                seat.known.note(|known| known.record_store_failure(self.now));
+                seat.schedule.record_list_failure(self.now, blind_near);
+                seat.reachability.record(seat.known.read_mode(), seat.schedule.store_unreachable());
             }
             Step::Watch { wait, .. } => {
                 if self.now - began >= wait {
-                    seat.known.note(|known| known.lost(self.now));
+                    seat.known.note(|known| known.record_store_failure(self.now));
                 }
-                seat.follow.stop(self.now);
+                seat.schedule.stop_watch(self.now);
             }
-            Step::Idle(_) | Step::Pause(_) => {}
+            Step::Idle(_) | Step::Backoff(_) => {}
         }
         self.tell(vm);
         self.step(vm);
@@ -163,7 +166,7 @@
         let watching = seat.call.filter(|c| matches!(c.step, Step::Watch { .. }));
         if let Some(call) = watching.filter(|_| relay == Some(false)) {
             seat.call = None;
-            seat.follow.stop(self.now);
+            seat.schedule.stop_watch(self.now);
             self.waiting.retain(|w| w.1 != call.number);
         }
         self.step(vm);
--- a/crates/tgw-bench/src/leaving/known.rs
+++ b/crates/tgw-bench/src/leaving/known.rs
@@ -8,7 +8,7 @@
 use tgw_forward::{Fleet, upstream::Entry};
 use tgw_spread::{
     Delta, Evacuations, Upstreams, evacuations,
-    follow::{Pace, Way},
+    store_reads::{ReadMode, WatchTiming},
     upstreams,
 };
 
@@ -22,9 +22,9 @@
 
 /// What another VM tells of it.
 #[derive(Debug)]
-pub(crate) enum News {
-    Upstreams(upstreams::News),
-    Evacuations(evacuations::News),
+pub(crate) enum Update {
+    Upstreams(upstreams::Update),
+    Evacuations(evacuations::Update),
 }
 
 fn domains(entries: Vec<(u64, Entry)>) -> BTreeSet<Rc<str>> {
@@ -40,22 +40,22 @@
                 let changed = store.list().into_iter().map(|(v, e)| (e.id.clone(), v, e)).collect();
                 let to = store.revision;
                 let delta = Delta { from: None, to, changed, removed: vec![], gaps: vec![] };
-                let known = upstreams::News { delta, lapsed: vec![] };
-                upstreams.told(Millis::ZERO, known, false, &mut fleet);
+                let known = upstreams::Update { delta, retained: vec![] };
+                upstreams.apply_update(Millis::ZERO, known, false, &mut fleet);
                 Self::Upstreams(Box::new((upstreams, fleet)))
             }
             Subject::Evacuations => {
                 let mut known = Evacuations::default();
-                known.listed(store.revision, domains(store.list()));
+                known.apply_list(store.revision, domains(store.list()));
                 Self::Evacuations(known)
             }
         }
     }
 
-    pub(crate) fn way(&self) -> Way {
+    pub(crate) fn read_mode(&self) -> ReadMode {
         match self {
-            Self::Upstreams(_) => Way::Upstreams,
-            Self::Evacuations(_) => Way::Evacuations,
+            Self::Upstreams(_) => ReadMode::Upstreams,
+            Self::Evacuations(_) => ReadMode::Evacuations,
         }
     }
 
@@ -66,24 +66,24 @@
         }
     }
 
-    pub(crate) fn listed(&mut self, now: Millis, version: u64, entries: Vec<(u64, Entry)>) {
+    pub(crate) fn apply_list(&mut self, now: Millis, version: u64, entries: Vec<(u64, Entry)>) {
         match self {
-            Self::Upstreams(known) => known.0.listed(now, version, entries, &[], &mut known.1),
+            Self::Upstreams(known) => known.0.apply_list(now, version, entries, &[], &mut known.1),
             Self::Evacuations(known) => {
-                known.listed(version, domains(entries));
+                known.apply_list(version, domains(entries));
             }
         }
     }
 
-    pub(crate) fn changed(&mut self, now: Millis, version: u64, change: Change) {
+    pub(crate) fn apply_change(&mut self, now: Millis, version: u64, change: Change) {
         let (revision, id, entry) = change;
         match self {
             Self::Upstreams(known) => match entry {
-                Some(entry) => known.0.written(now, revision, entry, &mut known.1),
-                None => known.0.removed(version, revision, &id, &mut known.1),
+                Some(entry) => known.0.apply_write(now, revision, entry, &mut known.1),
+                None => known.0.apply_removal(version, revision, &id, &mut known.1),
             },
             Self::Evacuations(known) => {
-                known.changed(version, &id, entry.is_some());
+                known.apply_change(version, &id, entry.is_some());
             }
         }
     }
@@ -97,24 +97,24 @@
 
     pub(crate) fn tick(&mut self, now: Millis) {
         if let Self::Upstreams(known) = self {
-            known.0.tick(now, &mut known.1);
+            known.0.drop_expired(now, &mut known.1);
         }
     }
 
-    pub(crate) fn since(&self, now: Millis, version: u64) -> Option<News> {
+    pub(crate) fn update_since(&self, now: Millis, version: u64) -> Option<Update> {
         match self {
-            Self::Upstreams(known) => known.0.since(now, version).map(News::Upstreams),
-            Self::Evacuations(known) => known.since(version).map(News::Evacuations),
+            Self::Upstreams(known) => known.0.update_since(now, version).map(Update::Upstreams),
+            Self::Evacuations(known) => known.update_since(version).map(Update::Evacuations),
         }
     }
 
-    pub(crate) fn told(&mut self, now: Millis, news: News) {
-        match (self, news) {
-            (Self::Upstreams(known), News::Upstreams(news)) => {
-                known.0.told(now, news, false, &mut known.1);
+    pub(crate) fn apply_update(&mut self, now: Millis, update: Update) {
+        match (self, update) {
+            (Self::Upstreams(known), Update::Upstreams(update)) => {
+                known.0.apply_update(now, update, false, &mut known.1);
             }
-            (Self::Evacuations(known), News::Evacuations(news)) => {
-                known.told(news);
+            (Self::Evacuations(known), Update::Evacuations(update)) => {
+                known.apply_update(update);
             }
             _ => {}
         }
@@ -145,10 +145,10 @@
 }
 
 impl Subject {
-    pub(crate) fn pace(self) -> Pace {
+    pub(crate) fn timing(self) -> WatchTiming {
         match self {
-            Self::Upstreams => Pace::OFTEN,
-            Self::Evacuations => Pace::SELDOM,
+            Self::Upstreams => WatchTiming::FREQUENT,
+            Self::Evacuations => WatchTiming::RARE,
         }
     }
 }
--- a/crates/tgw-bench/src/leaving/peers.rs
+++ b/crates/tgw-bench/src/leaving/peers.rs
@@ -1,7 +1,7 @@
 use super::{
     What,
     acting::{FAR, NEAR},
-    known::News,
+    known::Update,
     world::{Due, World, address, index},
 };
 use rand::Rng;
@@ -35,7 +35,7 @@
                 Action::Newer { addr, world, evacuations, .. } => {
                     self.ask(vm, addr, world.max(evacuations));
                 }
-                Action::Paused(gap) => self.vms[vm].known.note(|known| known.paused(gap)),
+                Action::Paused(gap) => self.vms[vm].known.note(|known| known.exclude_pause(gap)),
                 Action::Changed => {}
             }
         }
@@ -67,19 +67,19 @@
     }
 
     pub(super) fn asked(&mut self, vm: usize, from: usize, version: u64, asked: Millis) {
-        let news = self.vms[vm].known.since(self.now, version);
+        let update = self.vms[vm].known.update_since(self.now, version);
         if let Some((to, way)) = self.way(vm, address(from)) {
-            self.at(self.now + way, Due::News { to, asked, news });
+            self.at(self.now + way, Due::Update { to, asked, update });
         }
     }
 
-    pub(super) fn told(&mut self, vm: usize, asked: Millis, news: Option<News>) {
+    pub(super) fn told(&mut self, vm: usize, asked: Millis, update: Option<Update>) {
         let seat = &mut self.vms[vm];
         if seat.asking == Some(asked) {
             seat.asking = None;
         }
-        if let Some(news) = news {
-            seat.known.told(self.now, news);
+        if let Some(update) = update {
+            seat.known.apply_update(self.now, update);
             self.tell(vm);
         }
     }
--- a/crates/tgw-bench/src/leaving/platform.rs
+++ b/crates/tgw-bench/src/leaving/platform.rs
@@ -7,7 +7,7 @@
 use rand::{Rng, seq::SliceRandom};
 use tgw_clock::Millis;
 use tgw_forward::upstream::Entry;
-use tgw_spread::follow::Step;
+use tgw_spread::store_reads::Step;
 
 /// An answer of the store, and one of a slow store.
 pub(super) const STORE: Millis = Millis::new(12);
@@ -155,7 +155,7 @@
                 self.at(reply, Due::Watched(vm, call, version, changes));
             }
             Step::Watch { from, wait } => self.waiting.push((vm, call, from, self.now + wait)),
-            Step::Idle(_) | Step::Pause(_) => {}
+            Step::Idle(_) | Step::Backoff(_) => {}
         }
     }
 }
--- a/crates/tgw-bench/src/leaving/vm.rs
+++ b/crates/tgw-bench/src/leaving/vm.rs
@@ -3,8 +3,8 @@
 use tgw_clock::Millis;
 use tgw_member::{Event, Member};
 use tgw_spread::{
-    Follow,
-    follow::{Sight, Step, Turn},
+    Schedule,
+    store_reads::{Reachability, ReadRank, Step},
 };
 
 /// A call of the store that is under way.
@@ -21,8 +21,8 @@
     pub(crate) region: usize,
     pub(crate) member: Member,
     pub(crate) known: Known,
-    pub(crate) follow: Follow,
-    pub(crate) sight: Sight,
+    pub(crate) schedule: Schedule,
+    pub(crate) reachability: Reachability,
     pub(crate) relay: Option<bool>,
     pub(crate) call: Option<Call>,
     /// Only the last step that was set counts.
@@ -37,8 +37,8 @@
 }
 
 impl Vm {
-    pub(crate) fn turn(&self) -> Turn {
-        Turn { relay: self.relay, known: true, due: Millis::MAX }
+    pub(crate) fn rank(&self) -> ReadRank {
+        ReadRank { relay: self.relay, has_data: true, read_at: Millis::MAX }
     }
 
     /// What it has to tell others.
@@ -48,6 +48,6 @@
             Known::Upstreams(_) => Event::World(version),
             Known::Evacuations(_) => Event::Evacuations(version),
         };
-        vec![news, Event::Blind(self.sight.is_blind())]
+        vec![news, Event::Blind(self.reachability.is_unreachable())]
     }
 }
--- a/crates/tgw-bench/src/leaving/world.rs
+++ b/crates/tgw-bench/src/leaving/world.rs
@@ -1,6 +1,6 @@
 use super::{
     Outcome, Setup,
-    known::{Known, News},
+    known::{Known, Update},
     setup::Subject,
     store::{Change, Store},
     vm::Vm,
@@ -16,8 +16,8 @@
 use tgw_forward::upstream::Entry;
 use tgw_member::{Event, Member, Options, Packet, Record};
 use tgw_spread::{
-    Follow,
-    follow::{Probed, Sight},
+    Schedule,
+    store_reads::{ProbeResult, Reachability},
 };
 use tgw_topology::{
     Place, Vm as Id,
@@ -42,13 +42,13 @@
     Records { to: usize, records: Vec<Record> },
     Step(usize, u64),
     Probe(usize),
-    Probed(usize, Probed),
+    Probed(usize, ProbeResult),
     Arrive(usize, u64),
     Listed(usize, u64, u64, Vec<(u64, Entry)>),
     Watched(usize, u64, u64, Vec<Change>),
     Failed(usize, u64),
     Ask { to: usize, from: usize, version: u64, asked: Millis },
-    News { to: usize, asked: Millis, news: Option<News> },
+    Update { to: usize, asked: Millis, update: Option<Update> },
     Unanswered { to: usize, asked: Millis },
     Begin(usize),
     End(usize),
@@ -172,8 +172,8 @@
             region,
             member: Member::new(options),
             known: Known::new(self.setup.subject, &self.store),
-            follow: Follow::new(self.rng.random(), self.setup.subject.pace()),
-            sight: Sight::default(),
+            schedule: Schedule::new(self.rng.random(), self.setup.subject.timing()),
+            reachability: Reachability::default(),
             relay: None,
             call: None,
             steps: 0,
@@ -209,7 +209,7 @@
             Due::Probe(vm) | Due::Probed(vm, _) => Some(*vm),
             Due::Listed(vm, ..) | Due::Watched(vm, ..) | Due::Failed(vm, _) => Some(*vm),
             Due::Packet { to, .. } | Due::Records { to, .. } | Due::Ask { to, .. } => Some(*to),
-            Due::News { to, .. } | Due::Unanswered { to, .. } => Some(*to),
+            Due::Update { to, .. } | Due::Unanswered { to, .. } => Some(*to),
             _ => None,
         };
         if let Some(vm) = to.map(|to| &self.vms[to]) {
@@ -228,13 +228,17 @@
             Due::Step(vm, number) if number == self.vms[vm].steps => self.step(vm),
             Due::Step(..) => {}
             Due::Probe(vm) => self.probe(vm),
-            Due::Probed(vm, probed) => {
-                match probed {
-                    Probed::Answered => self.vms[vm].known.note(|known| known.probed(self.now)),
-                    Probed::Silent => self.vms[vm].known.note(|known| known.lost(self.now)),
-                    Probed::Refused => {}
+            Due::Probed(vm, result) => {
+                match result {
+                    ProbeResult::Answered => {
+                        self.vms[vm].known.note(|known| known.record_probe_answer(self.now));
+                    }
+                    ProbeResult::TimedOut => {
+                        self.vms[vm].known.note(|known| known.record_store_failure(self.now));
+                    }
+                    ProbeResult::Refused => {}
                 }
-                self.vms[vm].sight.probed(probed);
+                self.vms[vm].reachability.record_probe(result);
                 self.tell(vm);
             }
             Due::Arrive(vm, call) => self.arrive(vm, call),
@@ -242,7 +246,7 @@
             Due::Watched(vm, call, version, changes) => self.watched(vm, call, version, changes),
             Due::Failed(vm, call) => self.failed(vm, call),
             Due::Ask { to, from, version, asked } => self.asked(to, from, version, asked),
-            Due::News { to, asked, news } => self.told(to, asked, news),
+            Due::Update { to, asked, update } => self.told(to, asked, update),
             Due::Unanswered { to, asked } => {
                 if self.vms[to].asking == Some(asked) {
                     self.vms[to].asking = None;
--- a/crates/tgw-bench/src/starts/world.rs
+++ b/crates/tgw-bench/src/starts/world.rs
@@ -7,8 +7,8 @@
 };
 use tgw_clock::Millis;
 use tgw_spread::{
-    Start,
-    start::{Action, Event, Found, Options, Waits},
+    Bootstrap,
+    start::{Action, Event, Options, PeerState, Timeouts},
 };
 
 /// Time between looks of a VM at its timers, as in the gateway.
@@ -39,8 +39,8 @@
 #[derive(Clone, Debug)]
 enum Due {
     Tick(usize),
-    Seek { to: usize, from: usize },
-    Found { to: usize, from: usize, found: Found },
+    VersionQuery { to: usize, from: usize },
+    VersionReply { to: usize, from: usize, state: PeerState },
     Ask { to: usize, from: usize },
     Busy { to: usize, others: Vec<usize> },
     Told { to: usize, from: usize },
@@ -49,7 +49,7 @@
 }
 
 struct Vm {
-    start: Start,
+    start: Bootstrap,
     at: Millis,
     dies: Option<Millis>,
     refused: bool,
@@ -115,14 +115,14 @@
             let dies = if down { Some(Millis::ZERO) } else { setup.seeds_die.map(|d| at + d) };
             let others = seeds.iter().filter(|s| **s != number).map(|s| address(*s)).collect();
             let options = Options {
-                seed,
-                first: setup.first,
+                is_seed: seed,
+                first_start: setup.first,
                 seeds: others,
-                waits: Waits::default(),
-                random: rng.random(),
+                timeouts: Timeouts::default(),
+                rng_seed: rng.random(),
             };
             vms.push(Vm {
-                start: Start::new(at, options),
+                start: Bootstrap::new(at, options),
                 at,
                 dies: dies.filter(|_| seed),
                 refused: rng.random_bool(setup.refused),
@@ -172,7 +172,9 @@
     fn handle(&mut self, due: Due) {
         let to = match &due {
             Due::Tick(to) | Due::Read(to) | Due::Copied(to) => *to,
-            Due::Seek { to, .. } | Due::Found { to, .. } | Due::Ask { to, .. } => *to,
+            Due::VersionQuery { to, .. } | Due::VersionReply { to, .. } | Due::Ask { to, .. } => {
+                *to
+            }
             Due::Busy { to, .. } | Due::Told { to, .. } => *to,
         };
         if !self.lives(to) {
@@ -180,13 +182,15 @@
         }
         match due {
             Due::Tick(vm) => self.tick(vm),
-            Due::Seek { to, from } => {
+            Due::VersionQuery { to, from } => {
                 let held = u64::from(self.vms[to].holds.is_some());
-                let reads = self.vms[to].reading;
-                let found = Found { config: held, upstreams: held, reads };
-                self.packet(to, from, Due::Found { to: from, from: to, found });
+                let reads_store = self.vms[to].reading;
+                let state = PeerState { config: held, upstreams: held, reads_store };
+                self.packet(to, from, Due::VersionReply { to: from, from: to, state });
+            }
+            Due::VersionReply { to, from, state } => {
+                self.tell(to, Event::VersionReply(address(from), state));
             }
-            Due::Found { to, from, found } => self.tell(to, Event::Found(address(from), found)),
             Due::Ask { to, from } => self.asked(to, from),
             Due::Busy { to, others } => {
                 let others: Vec<SocketAddr> = others.into_iter().map(address).collect();
@@ -195,7 +199,7 @@
             Due::Told { to, from } => {
                 self.vms[from].telling -= 1;
                 self.vms[from].told.push(to);
-                self.tell(to, Event::Answered);
+                self.tell(to, Event::StateReply);
                 self.hold(to);
             }
             Due::Read(vm) => self.read(vm),
@@ -208,14 +212,14 @@
 
     fn tell(&mut self, vm: usize, event: Event<'_>) {
         let mut actions = Vec::new();
-        self.vms[vm].start.on(self.now, event, &mut actions);
+        self.vms[vm].start.handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Seek(addr) => {
+                Action::QueryVersions(addr) => {
                     let to = index(addr);
-                    self.packet(vm, to, Due::Seek { to, from: vm });
+                    self.packet(vm, to, Due::VersionQuery { to, from: vm });
                 }
-                Action::Ask(addr) => {
+                Action::RequestState(addr) => {
                     let to = index(addr);
                     // A connection and a question: a way there, back and there again.
                     let way = self.way(vm, to);
@@ -246,7 +250,7 @@
         let now = self.now;
         self.vms[vm].holds.get_or_insert(now);
         self.vms[vm].serves.get_or_insert(now);
-        self.tell(vm, Event::Holds { config: 1, upstreams: 1 });
+        self.tell(vm, Event::OwnVersions { config: 1, upstreams: 1 });
     }
 
     fn answers(&self, vm: usize) -> bool {
@@ -257,14 +261,16 @@
         self.tell(vm, Event::Tick);
         let now = self.now;
         let transfer = Millis::new(STATE * 3 / LINK);
-        if self.vms[vm].start.reads_copy(now) {
+        if self.vms[vm].start.take_copy_due(now) {
             self.calls += COPY;
             if self.answers(vm) {
                 self.at(now + STORE + transfer, Due::Copied(vm));
             }
         }
         let seat = &self.vms[vm];
-        let due = !seat.start.is_over() && now >= seat.start.due() && now >= seat.read_again;
+        let due = !seat.start.is_complete()
+            && now >= seat.start.store_read_at()
+            && now >= seat.read_again;
         if due && !seat.reading {
             self.vms[vm].reading = true;
             self.vms[vm].read = true;
@@ -281,7 +287,7 @@
             return self.hold(vm);
         }
         self.vms[vm].reading = false;
-        self.tell(vm, Event::Refused);
+        self.tell(vm, Event::StoreRefused);
         self.vms[vm].read_again = self.now + AGAIN;
     }
 
--- a/crates/tgw-gateway/src/hop.rs
+++ b/crates/tgw-gateway/src/hop.rs
@@ -170,7 +170,7 @@
     // The sender stays in the table until it is used.
     let Ok(outcome) = answer.await else { return (Sign::Dropped, Ended::Unsent) };
     tracing::debug!(request = ?request.identity, %host, "peer made the send");
-    if outcome == Outcome::Full {
+    if outcome == Outcome::AtCapacity {
         shared.hops.backoffs.borrow_mut().insert(host, shared.now() + FULL_BACKOFF_MS);
         return send_without_host(send).await;
     }
@@ -199,23 +199,23 @@
         number,
         upstream: entry.id.clone(),
         started: entry.started,
-        insist: send.fallback,
+        fallback: send.fallback,
         lent: send.host_charged,
         limit: send.part_limits.map_or(0, |part_limits| part_limits.limit as u64),
-        floor: send.part_limits.and_then(|part_limits| part_limits.floor),
-        left: (request.deadline - shared.now()).whole(),
+        min_record: send.part_limits.and_then(|part_limits| part_limits.floor),
+        time_left_ms: (request.deadline - shared.now()).whole(),
         method: request.method.to_string(),
         uri,
         headers,
         body: request.body.to_vec(),
-        print: request.fingerprint,
-        seen: send.seen,
+        fingerprint: request.fingerprint,
+        rounds: send.seen,
     })
 }
 
 fn outcome_of(outcome: Outcome) -> (Sign, Ended) {
     match outcome {
-        Outcome::Answered { status, seal: signature, load, body } => {
+        Outcome::Answered { status, signature, load, body } => {
             let Ok(status) = StatusCode::from_u16(status) else {
                 return (Sign::Broken, Ended::Broken);
             };
@@ -223,12 +223,12 @@
             let (headers, body) = (HeaderMap::new(), Bytes::from(body));
             exchange::classify_reply(Response { status, headers, seal: signature, load, body })
         }
-        Outcome::Busy | Outcome::Full => (Sign::Busy, Ended::Busy),
-        Outcome::Unsent => (Sign::Unreachable, Ended::Unsent),
+        Outcome::Busy | Outcome::AtCapacity => (Sign::Busy, Ended::Busy),
+        Outcome::NotConnected => (Sign::Unreachable, Ended::Unsent),
         Outcome::Declined => (Sign::Shed, Ended::Declined),
         Outcome::Broken => (Sign::Broken, Ended::Broken),
-        Outcome::Gone => (Sign::Broken, Ended::Gone),
-        Outcome::Silent => (Sign::Silent, Ended::Silent),
+        Outcome::Terminated => (Sign::Broken, Ended::Gone),
+        Outcome::TimedOut => (Sign::Silent, Ended::Silent),
     }
 }
 
@@ -238,7 +238,7 @@
     let key = (from, number);
     let hosted = shared.hops.hosted.borrow().len();
     if hosted >= MAX_HOSTED_SENDS || shared.hops.hosted.borrow().contains_key(&key) {
-        return send_reply(shared, from, number, Outcome::Full);
+        return send_reply(shared, from, number, Outcome::AtCapacity);
     }
     let task = tokio::task::spawn_local({
         let shared = shared.clone();
@@ -257,10 +257,10 @@
 
 async fn make_send(shared: &Rc<Shared>, request: Request) -> Outcome {
     let limit = usize::try_from(request.limit).unwrap_or(usize::MAX);
-    let part_limits = (limit > 0).then_some(Cut { limit, floor: request.floor });
-    let Request { started, insist: fallback, lent: host_charged, seen, .. } = request;
+    let part_limits = (limit > 0).then_some(Cut { limit, floor: request.min_record });
+    let Request { started, fallback, lent: host_charged, rounds, .. } = request;
     let upstream = request.upstream.clone();
-    let Some(outgoing) = unpack(shared, request) else { return Outcome::Unsent };
+    let Some(outgoing) = unpack(shared, request) else { return Outcome::NotConnected };
     let route = outgoing.route.as_deref();
     let requested = hosting::Request {
         upstream: &upstream,
@@ -272,13 +272,19 @@
     let hosted = shared.core.borrow_mut().host(shared.now(), requested);
     let ticket = match hosted {
         Ok(ticket) => ticket,
-        Err(Refusal::Unknown) => return Outcome::Unsent,
+        Err(Refusal::Unknown) => return Outcome::NotConnected,
         Err(Refusal::Busy) => return Outcome::Busy,
     };
     let service = if host_charged { service_of(shared, &upstream) } else { None };
     let (hop, fallback) = (Hop::Direct, true);
-    let options =
-        exchange::Options { ticket, hop, fallback, host_charged: false, part_limits: None, seen };
+    let options = exchange::Options {
+        ticket,
+        hop,
+        fallback,
+        host_charged: false,
+        part_limits: None,
+        seen: rounds,
+    };
     match exchange::run(shared.clone(), options, Rc::new(outgoing)).await {
         Ended::Answered(response) => reply_outcome(*response, part_limits),
         Ended::Declined => Outcome::Declined,
@@ -287,11 +293,11 @@
             if let Some(service) = &service {
                 shared.core.borrow_mut().refund(service);
             }
-            if matches!(ended, Ended::Busy) { Outcome::Busy } else { Outcome::Unsent }
+            if matches!(ended, Ended::Busy) { Outcome::Busy } else { Outcome::NotConnected }
         }
         Ended::Broken => Outcome::Broken,
-        Ended::Gone => Outcome::Gone,
-        Ended::Silent => Outcome::Silent,
+        Ended::Gone => Outcome::Terminated,
+        Ended::Silent => Outcome::TimedOut,
     }
 }
 
@@ -306,7 +312,7 @@
     }
     Outcome::Answered {
         status: response.status.as_u16(),
-        seal: response.seal.map(|s| s.as_bytes().to_vec()),
+        signature: response.seal.map(|s| s.as_bytes().to_vec()),
         load: response.load,
         body,
     }
@@ -334,8 +340,8 @@
         body: request.body.into(),
         _memory: None,
         identity,
-        fingerprint: request.print,
+        fingerprint: request.fingerprint,
         route,
-        deadline: shared.now() + Millis::new(request.left),
+        deadline: shared.now() + Millis::new(request.time_left_ms),
     })
 }
--- a/crates/tgw-gateway/src/peers.rs
+++ b/crates/tgw-gateway/src/peers.rs
@@ -24,8 +24,8 @@
 use tgw_owner::{Directory, State};
 use tgw_spread::{
     Message,
-    message::{Datagram, Late, Versions},
-    start::{self, Found},
+    message::{Datagram, PeerReport, Versions},
+    start::{self, PeerState},
 };
 use tgw_topology::Vm;
 use tgw_wire::Error;
@@ -161,8 +161,12 @@
     /// had left for good.
     fn expire_upstreams(&self) {
         let mut core = self.shared.core.borrow_mut();
-        let removed =
-            self.shared.world.borrow_mut().upstreams.tick(self.shared.now(), &mut core.fleet);
+        let removed = self
+            .shared
+            .world
+            .borrow_mut()
+            .upstreams
+            .drop_expired(self.shared.now(), &mut core.fleet);
         drop(core);
         if removed {
             telemetry::suspicion_changes(&self.shared);
@@ -171,7 +175,7 @@
 
     /// Requests the state from other VMs until this VM holds it.
     async fn fetch_state(self: Rc<Self>) {
-        while !self.shared.start.borrow().is_over() {
+        while !self.shared.start.borrow().is_complete() {
             self.on_start_event(start::Event::Tick);
             sleep(START_TICK_INTERVAL).await;
         }
@@ -181,17 +185,19 @@
     /// Passes an event to the start-up logic of this VM and carries out the resulting actions.
     pub(crate) fn on_start_event(self: &Rc<Self>, event: start::Event<'_>) {
         let versions = match &event {
-            start::Event::Found(_, Found { config, upstreams, .. }) => {
+            start::Event::VersionReply(_, PeerState { config, upstreams, .. }) => {
                 Versions { config: *config, upstreams: *upstreams, evacuations: 0 }
             }
             _ => MAX_VERSIONS,
         };
         let mut actions = Vec::new();
-        self.shared.start.borrow_mut().on(self.shared.now(), event, &mut actions);
+        self.shared.start.borrow_mut().handle(self.shared.now(), event, &mut actions);
         for action in actions {
             match action {
-                start::Action::Seek(addr) => self.shared.packets.send(addr, &Datagram::Seek),
-                start::Action::Ask(addr) => self.request_state(addr, versions),
+                start::Action::QueryVersions(addr) => {
+                    self.shared.packets.send(addr, &Datagram::VersionQuery);
+                }
+                start::Action::RequestState(addr) => self.request_state(addr, versions),
             }
         }
     }
@@ -205,7 +211,7 @@
         self.on_member_event(Event::Edit(config));
         self.on_member_event(Event::World(upstreams));
         self.on_member_event(Event::Evacuations(evacuations));
-        self.on_member_event(Event::Blind(self.shared.reachability.borrow().is_blind()));
+        self.on_member_event(Event::Blind(self.shared.reachability.borrow().is_unreachable()));
     }
 
     pub(crate) fn versions(&self) -> Versions {
@@ -218,20 +224,21 @@
                 self.shared.core.borrow_mut().fleet.heard(self.shared.now());
                 self.on_member_event(Event::Packet(from, member_packet));
             }
-            Ok(Datagram::Late(reports)) => {
+            Ok(Datagram::PeerReports(reports)) => {
                 let now = self.shared.now();
                 let mut core = self.shared.core.borrow_mut();
-                for late in reports {
-                    let Late { upstream, started, overdue, expected } = late;
-                    let report = Word { overdue, expected: f64::from(expected) };
+                for peer_report in reports {
+                    let PeerReport { upstream, started, overdue, expected_latency_ms } =
+                        peer_report;
+                    let report = Word { overdue, expected: f64::from(expected_latency_ms) };
                     core.fleet.told(now, &upstream, started, report);
                 }
             }
             Ok(Datagram::Hop(request)) => hop::accept(&self.shared, from, *request),
             Ok(Datagram::HopEnded(reply)) => self.shared.hops.ended(from, *reply),
             Ok(Datagram::HopCancelled(number)) => self.shared.hops.cancel(from, number),
-            Ok(Datagram::Seek) => {
-                self.shared.packets.send(from, &Datagram::Found(self.start_status()));
+            Ok(Datagram::VersionQuery) => {
+                self.shared.packets.send(from, &Datagram::VersionReply(self.start_status()));
                 if let Some(update) = self.next_quarantined() {
                     self.shared.packets.send(from, &Datagram::Quarantine(update));
                 }
@@ -239,15 +246,17 @@
             Ok(Datagram::Quarantine(update)) => {
                 quarantine::apply_update(&self.shared, from, &update);
             }
-            Ok(Datagram::Found(found)) => self.on_start_event(start::Event::Found(from, found)),
+            Ok(Datagram::VersionReply(state)) => {
+                self.on_start_event(start::Event::VersionReply(from, state));
+            }
             Err(error) => tracing::debug!(%error, %from, "packet refused"),
         }
     }
 
     /// Describes how complete the state of this VM is.
-    fn start_status(&self) -> Found {
+    fn start_status(&self) -> PeerState {
         let Versions { config, upstreams, .. } = self.versions();
-        Found { config, upstreams, reads: self.shared.store_reads.all() }
+        PeerState { config, upstreams, reads_store: self.shared.store_reads.all() }
     }
 
     pub(crate) fn on_member_event(self: &Rc<Self>, event: Event) {
@@ -276,7 +285,7 @@
                 }
                 Action::Paused(gap) => {
                     tracing::warn!(gap_ms = gap.whole(), "this VM was paused");
-                    self.shared.world.borrow_mut().upstreams.paused(gap);
+                    self.shared.world.borrow_mut().upstreams.exclude_pause(gap);
                 }
             }
         }
@@ -290,7 +299,7 @@
         }
         let mut receivers = self.region_peers.borrow().clone();
         receivers.shuffle(&mut rand::rng());
-        let datagram = Datagram::Late(reports);
+        let datagram = Datagram::PeerReports(reports);
         receivers
             .into_iter()
             .take(MAX_REPORT_RECEIVERS)
--- a/crates/tgw-gateway/src/settings.rs
+++ b/crates/tgw-gateway/src/settings.rs
@@ -1,7 +1,7 @@
 use std::net::SocketAddr;
 use tgw_clock::Millis;
 use tgw_forward::{core::Budget, fleet::Place, warmup::Excess};
-use tgw_spread::start::Waits;
+use tgw_spread::start::Timeouts;
 use tgw_topology::Place as Numbered;
 
 /// Settings of one gateway process.
@@ -41,7 +41,7 @@
     /// This VM is a seed of other VMs.
     pub seed: bool,
     /// How long this VM waits at its start for other VMs to send it the state.
-    pub waits: Waits,
+    pub waits: Timeouts,
     /// This VM's place, by numbers that are the same on all VMs.
     pub place: Numbered,
     /// The key that signs frames.
--- a/crates/tgw-gateway/src/shared.rs
+++ b/crates/tgw-gateway/src/shared.rs
@@ -13,10 +13,10 @@
 use tgw_quarantine::fingerprint::Hasher;
 use tgw_route::{Config, Limits, Route, Table};
 use tgw_spread::{
-    Start, World,
-    follow::Sight,
-    message::Late,
+    Bootstrap, ReplicatedState,
+    message::PeerReport,
     start::{self, Event},
+    store_reads::Reachability,
 };
 use tokio::sync::{Notify, watch};
 
@@ -83,7 +83,7 @@
     pub(crate) broken_sends: Sends,
     pub(crate) config: RefCell<ActiveConfig>,
     /// State that is replicated between VMs.
-    pub(crate) world: RefCell<World>,
+    pub(crate) world: RefCell<ReplicatedState>,
     /// The list of upstreams is known.
     pub(crate) upstreams_known: Cell<bool>,
     /// Evacuations were read or received from a peer, or cannot be read at the moment. Before that,
@@ -95,15 +95,15 @@
     /// decided.
     pub(crate) relay: watch::Sender<Option<bool>>,
     /// Decides whether this VM reads the store at its start, and which VMs it asks before.
-    pub(crate) start: RefCell<Start>,
+    pub(crate) start: RefCell<Bootstrap>,
     /// What this VM currently reads from the store.
     pub(crate) store_reads: StoreReads,
     /// Whether this VM can reach the store.
-    pub(crate) reachability: RefCell<Sight>,
+    pub(crate) reachability: RefCell<Reachability>,
     /// Number of VMs of this domain that cannot reach the store.
     pub(crate) peers_without_store: Cell<usize>,
     /// Reports on slow upstreams that are still to be sent to other VMs.
-    pub(crate) pending_reports: RefCell<Vec<Late>>,
+    pub(crate) pending_reports: RefCell<Vec<PeerReport>>,
     /// Notified when there is an update for other VMs.
     pub(crate) update_ready: Notify,
     pub(crate) phase: watch::Sender<Phase>,
@@ -125,17 +125,17 @@
         let memory = Budget::new(settings.bodies);
         let hasher = Hasher::new(&settings.peer.key);
         let clock = Monotonic::default();
-        let start = Start::new(
+        let start = Bootstrap::new(
             clock.now(),
             start::Options {
-                seed: settings.peer.seed,
-                first: settings.first,
+                is_seed: settings.peer.seed,
+                first_start: settings.first,
                 seeds: settings.peer.seeds.clone(),
-                waits: settings.peer.waits,
-                random: rand::random(),
+                timeouts: settings.peer.waits,
+                rng_seed: rand::random(),
             },
         );
-        let world = World::new(settings.heartbeat);
+        let world = ReplicatedState::new(settings.heartbeat);
         let mut core = Core::new(settings.place.clone(), settings.budget, policy);
         core.set_excess(settings.excess);
         Ok(Rc::new(Self {
@@ -189,17 +189,17 @@
 
     /// Passes an event that calls for no action to the start-up logic.
     pub(crate) fn notify_start(&self, event: Event<'_>) {
-        self.start.borrow_mut().on(self.now(), event, &mut Vec::new());
+        self.start.borrow_mut().handle(self.now(), event, &mut Vec::new());
     }
 
     /// Passes the versions held by this VM to the start-up logic.
     pub(crate) fn record_versions(&self) {
         let world = self.world.borrow();
-        let (config, upstreams) = (world.config(), world.upstreams.version());
+        let (config, upstreams) = (world.config_version(), world.upstreams.version());
         if upstreams > 0 {
             self.upstreams_known.set(true);
         }
-        self.notify_start(Event::Holds { config, upstreams });
+        self.notify_start(Event::OwnVersions { config, upstreams });
     }
 
     /// Puts a configuration into force that was accepted into the replicated state.
@@ -249,7 +249,12 @@
                 continue;
             };
             let (upstream, started) = (entry.id.clone(), entry.started);
-            reports.push(Late { upstream, started, overdue, expected: expected as f32 });
+            reports.push(PeerReport {
+                upstream,
+                started,
+                overdue,
+                expected_latency_ms: expected as f32,
+            });
         }
         if !reports.is_empty() {
             self.update_ready.notify_one();
--- a/crates/tgw-gateway/src/stale.rs
+++ b/crates/tgw-gateway/src/stale.rs
@@ -5,17 +5,17 @@
 use std::rc::Rc;
 use tgw_forward::upstream::Entry;
 use tgw_platform::{Object, Store, object::List};
-use tgw_spread::follow::LOOK_NEW;
+use tgw_spread::store_reads::STARTUP_RANK_CHECK_INTERVAL_MS;
 use tokio::time::sleep;
 
 /// Reads a copy of the store if no VM sends this one the state at its start. The VM serves with the
 /// copy until it receives the state or reads the store itself.
 pub(crate) async fn run(shared: Rc<Shared>, store: Rc<dyn Store>) {
-    while !shared.start.borrow_mut().reads_copy(shared.now()) {
-        if shared.start.borrow().is_over() {
+    while !shared.start.borrow_mut().take_copy_due(shared.now()) {
+        if shared.start.borrow().is_complete() {
             return;
         }
-        sleep(LOOK_NEW.into()).await;
+        sleep(STARTUP_RANK_CHECK_INTERVAL_MS.into()).await;
     }
     let kinds = shared.codec.kinds();
     let (evacuations, config, upstreams) = tokio::join!(
@@ -28,7 +28,7 @@
     shared.metrics.count_store_call("stale list", &upstreams);
     match evacuations {
         Ok(List { objects, .. }) => {
-            shared.world.borrow_mut().evacuations.copied(evacuated_domains(&objects));
+            shared.world.borrow_mut().evacuations.apply_copy(evacuated_domains(&objects));
             shared.apply_evacuations("copy of the store");
             shared.evacuations_checked.set(true);
         }
@@ -68,7 +68,7 @@
     );
     let known = !entries.is_empty();
     let mut core = shared.core.borrow_mut();
-    shared.world.borrow_mut().upstreams.copied(shared.now(), entries, &mut core.fleet);
+    shared.world.borrow_mut().upstreams.apply_copy(shared.now(), entries, &mut core.fleet);
     if known {
         shared.upstreams_known.set(true);
         shared.upstreams_stale.set(true);
--- a/crates/tgw-gateway/src/state_exchange.rs
+++ b/crates/tgw-gateway/src/state_exchange.rs
@@ -14,7 +14,7 @@
 use tgw_quarantine::message::Update as QuarantineUpdate;
 use tgw_spread::{
     Applied, Message,
-    message::{News, Versions},
+    message::{Update, Versions},
     start, upstreams,
 };
 use tgw_wire::{FRAME_LIMIT, LENGTH};
@@ -72,19 +72,19 @@
 impl Peers {
     /// Requests newer state from a peer.
     pub(crate) fn request_state(self: &Rc<Self>, addr: SocketAddr, held_by_peer: Versions) {
-        let held = self.versions();
+        let versions = self.versions();
         let now = self.shared.now();
         // Every packet of a peer with newer state reports its versions again; one request at a time
         // is enough.
         let pending =
             self.transfers.requested_at.get().is_some_and(|at| now - at < REPLY_TIMEOUT_MS);
-        if !held_by_peer.is_beyond(held) || pending {
+        if !held_by_peer.is_ahead_of(versions) || pending {
             return;
         }
         self.transfers.requested_at.set(Some(now));
         let peers = self.clone();
         tokio::task::spawn_local(async move {
-            let message = Message::Ask { held, listens: peers.addr() };
+            let message = Message::Ask { versions, listen_addr: peers.addr() };
             let reply = peers.exchange(addr, &message, true).await;
             if peers.transfers.requested_at.get() == Some(now) {
                 peers.transfers.requested_at.set(None);
@@ -95,28 +95,29 @@
 
     fn on_reply(self: &Rc<Self>, from: SocketAddr, reply: anyhow::Result<Option<Message>>) {
         match reply {
-            Ok(Some(Message::News(update))) => {
-                self.on_start_event(start::Event::Answered);
+            Ok(Some(Message::Update(update))) => {
+                self.on_start_event(start::Event::StateReply);
                 self.apply_update(from, *update);
             }
             Ok(Some(Message::Busy(others))) => self.on_start_event(start::Event::Busy(&others)),
             Ok(_) => tracing::warn!(%from, "unexpected reply from a peer"),
             Err(error) => {
                 tracing::debug!(%error, %from, "state request to a peer failed");
-                self.on_start_event(start::Event::Answered);
+                self.on_start_event(start::Event::StateReply);
             }
         }
     }
 
-    fn apply_update(&self, from: SocketAddr, update: News) {
-        if !update.held.is_empty() {
+    fn apply_update(&self, from: SocketAddr, update: Update) {
+        if !update.quarantines.is_empty() {
             quarantine::apply_update(
                 &self.shared,
                 from,
-                &QuarantineUpdate { terminations: vec![], states: update.held },
+                &QuarantineUpdate { terminations: vec![], states: update.quarantines },
             );
         }
-        let config = update.config.and_then(|c| self.shared.world.borrow_mut().apply(c));
+        let config =
+            update.config.and_then(|c| self.shared.world.borrow_mut().apply_config_update(c));
         if let Some(config) = config {
             self.shared.apply_config(&config, "peer");
         }
@@ -124,7 +125,7 @@
         // Applied before the upstreams, so that upstreams of an evacuated domain are never
         // available for sends.
         if let Some(update) = update.evacuations {
-            let newer = self.shared.world.borrow_mut().evacuations.told(update);
+            let newer = self.shared.world.borrow_mut().evacuations.apply_update(update);
             if newer {
                 self.shared.apply_evacuations("peer");
             }
@@ -137,7 +138,7 @@
         self.shared.update_ready.notify_one();
     }
 
-    fn apply_upstreams(&self, from: SocketAddr, update: upstreams::News) {
+    fn apply_upstreams(&self, from: SocketAddr, update: upstreams::Update) {
         let full = update.delta.from.is_none();
         // Upstreams from a copy of the store may have left since: only those in this update are
         // kept.
@@ -146,7 +147,7 @@
         let mut core = self.shared.core.borrow_mut();
         let mut world = self.shared.world.borrow_mut();
         let Applied { changed, removed } =
-            world.upstreams.told(now, update, was_stale, &mut core.fleet);
+            world.upstreams.apply_update(now, update, was_stale, &mut core.fleet);
         for id in &removed {
             tracing::info!(upstream = &**id, %from, "upstream removed");
         }
@@ -182,42 +183,42 @@
     async fn serve_peer(self: &Rc<Self>, mut stream: TcpStream) -> anyhow::Result<()> {
         match self.read_message(&mut stream).await? {
             Message::Records(records) => self.on_member_event(Event::Records(records)),
-            Message::Ask { held, listens } if held.upstreams == 0 => {
+            Message::Ask { versions, listen_addr } if versions.upstreams == 0 => {
                 let Some(_transfer) = Transfer::begin(&self.transfers.running) else {
                     let others = self.transfers.recent_receivers.borrow().iter().copied().collect();
                     return self.write_message(&mut stream, &Message::Busy(others)).await;
                 };
-                self.send_state(&mut stream, held).await?;
+                self.send_state(&mut stream, versions).await?;
                 let mut recent_receivers = self.transfers.recent_receivers.borrow_mut();
-                recent_receivers.push_back(listens);
+                recent_receivers.push_back(listen_addr);
                 let surplus = recent_receivers.len().saturating_sub(MAX_REFERRALS);
                 recent_receivers.drain(..surplus);
             }
-            Message::Ask { held, .. } => self.send_state(&mut stream, held).await?,
-            Message::News(_) | Message::Busy(_) => {
+            Message::Ask { versions, .. } => self.send_state(&mut stream, versions).await?,
+            Message::Update(_) | Message::Busy(_) => {
                 anyhow::bail!("reply without a request")
             }
         }
         Ok(())
     }
 
-    async fn send_state(&self, stream: &mut TcpStream, held: Versions) -> anyhow::Result<()> {
+    async fn send_state(&self, stream: &mut TcpStream, versions: Versions) -> anyhow::Result<()> {
         let update = {
             let world = self.shared.world.borrow();
             let now = self.shared.now();
             // A starting VM serves as soon as it has this reply, so it must know the quarantined
             // requests by then; a separate packet could be lost.
-            let starting = held.upstreams == 0;
+            let starting = versions.upstreams == 0;
             let quarantined =
                 starting.then(|| self.shared.core.borrow().quarantine.all_states(now));
-            News {
-                config: world.since(held.config),
-                upstreams: world.upstreams.since(now, held.upstreams),
-                evacuations: world.evacuations.since(held.evacuations),
-                held: quarantined.unwrap_or_default(),
+            Update {
+                config: world.config_update_since(versions.config),
+                upstreams: world.upstreams.update_since(now, versions.upstreams),
+                evacuations: world.evacuations.update_since(versions.evacuations),
+                quarantines: quarantined.unwrap_or_default(),
             }
         };
-        self.write_message(stream, &Message::News(Box::new(update))).await
+        self.write_message(stream, &Message::Update(Box::new(update))).await
     }
 
     /// Sends a message to a peer, and waits for the reply if one is expected.
--- a/crates/tgw-gateway/src/telemetry.rs
+++ b/crates/tgw-gateway/src/telemetry.rs
@@ -142,7 +142,7 @@
 
 /// Logs a send to an upstream that is suspected because its entry is missing.
 pub(crate) fn send_to_suspected(shared: &Shared, send: &ActiveSend) {
-    let Some(doubt) = shared.world.borrow().upstreams.doubted(&send.entry.id) else { return };
+    let Some(doubt) = shared.world.borrow().upstreams.retention(&send.entry.id) else { return };
     let now = shared.now();
     if shared.log_limiter.allows(now, Category::Crash) {
         tracing::info!(
@@ -247,7 +247,7 @@
 pub(crate) fn request_unconfigured(shared: &Shared, now: Millis, request: Option<&str>) {
     shared.metrics.count_request("", "refused", "no configuration", Millis::ZERO);
     if shared.log_limiter.allows(now, Category::Outcome) {
-        let blind = shared.reachability.borrow().is_blind();
+        let blind = shared.reachability.borrow().is_unreachable();
         tracing::info!(request, outcome = "refused", cause = "no configuration", blind, "request");
     }
 }
--- a/crates/tgw-gateway/src/watch/configuration.rs
+++ b/crates/tgw-gateway/src/watch/configuration.rs
@@ -2,7 +2,7 @@
 use crate::{dialect::Decoded, shared::Shared};
 use std::rc::Rc;
 use tgw_platform::{Object, Version};
-use tgw_spread::follow::Way;
+use tgw_spread::store_reads::ReadMode;
 
 /// Watches the operators' configuration.
 pub(crate) struct Configuration {
@@ -25,7 +25,7 @@
                     tracing::warn!(%finding, revision = object.version,
                         "part of the configuration cannot be decoded");
                 }
-                let newer = self.shared.world.borrow_mut().configure(&value);
+                let newer = self.shared.world.borrow_mut().apply_config(&value);
                 if newer {
                     self.shared.apply_config(&value, "store");
                 }
@@ -44,8 +44,8 @@
         &self.kind
     }
 
-    fn read_mode(&self) -> Way {
-        Way::Configuration
+    fn read_mode(&self) -> ReadMode {
+        ReadMode::Configuration
     }
 
     fn apply_list(&mut self, _version: Version, objects: Vec<Object>) {
@@ -61,7 +61,7 @@
     fn watch_answered(&mut self) {}
 
     fn is_known(&self) -> bool {
-        self.shared.world.borrow().config() > 0
+        self.shared.world.borrow().config_version() > 0
     }
 
     fn set_reading(&self, reading: bool) {
--- a/crates/tgw-gateway/src/watch/evacuations.rs
+++ b/crates/tgw-gateway/src/watch/evacuations.rs
@@ -2,7 +2,7 @@
 use crate::shared::Shared;
 use std::{collections::BTreeSet, rc::Rc};
 use tgw_platform::{Object, Version};
-use tgw_spread::follow::{Pace, Way};
+use tgw_spread::store_reads::{ReadMode, WatchTiming};
 
 /// Watches the evacuated failure domains, whose upstreams receive no more requests.
 pub(crate) struct Evacuations {
@@ -28,17 +28,17 @@
         &self.kind
     }
 
-    fn read_mode(&self) -> Way {
-        Way::Evacuations
+    fn read_mode(&self) -> ReadMode {
+        ReadMode::Evacuations
     }
 
-    fn pace(&self) -> Pace {
-        Pace::SELDOM
+    fn timing(&self) -> WatchTiming {
+        WatchTiming::RARE
     }
 
     fn apply_list(&mut self, version: Version, objects: Vec<Object>) {
         let domains = evacuated_domains(&objects);
-        if self.shared.world.borrow_mut().evacuations.listed(version, domains) {
+        if self.shared.world.borrow_mut().evacuations.apply_list(version, domains) {
             self.shared.apply_evacuations("store");
         }
         self.shared.evacuations_checked.set(true);
@@ -53,7 +53,7 @@
         }
         let evacuated = !object.value.is_null();
         let domain = object.name.into();
-        if self.shared.world.borrow_mut().evacuations.changed(version, &domain, evacuated) {
+        if self.shared.world.borrow_mut().evacuations.apply_change(version, &domain, evacuated) {
             self.shared.apply_evacuations("store");
         }
     }
--- a/crates/tgw-gateway/src/watch/mod.rs
+++ b/crates/tgw-gateway/src/watch/mod.rs
@@ -15,9 +15,11 @@
 use tgw_clock::Millis;
 use tgw_platform::{Error, Object, Store, Version, object::List};
 use tgw_spread::{
-    Follow,
-    follow::{LOST_NEAR, MARGIN, PROBE_EVERY, PROBE_REPLY, Pace, Probed, Step, Turn, Way},
-    start,
+    Schedule, start,
+    store_reads::{
+        PROBE_INTERVAL_MS, PROBE_TIMEOUT_MS, ProbeResult, ReadMode, ReadRank, Step,
+        TAKEOVER_OUTAGE_VMS, WATCH_REPLY_MARGIN_MS, WatchTiming,
+    },
 };
 use tokio::{
     sync::watch,
@@ -29,10 +31,10 @@
 trait Topic {
     fn kind(&self) -> &str;
     /// How this kind is read from the store.
-    fn read_mode(&self) -> Way;
+    fn read_mode(&self) -> ReadMode;
     /// How often this kind is watched.
-    fn pace(&self) -> Pace {
-        Pace::OFTEN
+    fn timing(&self) -> WatchTiming {
+        WatchTiming::FREQUENT
     }
     /// Applies all objects as of a version.
     fn apply_list(&mut self, version: Version, objects: Vec<Object>);
@@ -67,23 +69,23 @@
 /// Otherwise this VM receives the state from peers.
 async fn follow(shared: &Shared, store: &dyn Store, topic: &mut dyn Topic) {
     let mut relay = shared.relay.subscribe();
-    let mut follow = Follow::new(rand::random(), topic.pace());
+    let mut schedule = Schedule::new(rand::random(), topic.timing());
     loop {
-        let turn = Turn {
+        let rank = ReadRank {
             relay: *relay.borrow_and_update(),
-            known: topic.is_known(),
-            due: shared.start.borrow().due(),
+            has_data: topic.is_known(),
+            read_at: shared.start.borrow().store_read_at(),
         };
-        match follow.next(shared.now(), turn) {
+        match schedule.next_step(shared.now(), rank) {
             Step::Idle(time) => tokio::select! {
                 // Cannot fail: the sender lives as long as the process.
                 _ = relay.changed() => {}
                 () = sleep(time.into()) => {}
             },
-            Step::Pause(time) => sleep(time.into()).await,
-            Step::List => list(shared, store, topic, &mut follow).await,
+            Step::Backoff(time) => sleep(time.into()).await,
+            Step::List => list(shared, store, topic, &mut schedule).await,
             Step::Watch { from, wait } => {
-                let watch = watch_once(shared, store, topic, &mut follow, from, wait);
+                let watch = watch_once(shared, store, topic, &mut schedule, from, wait);
                 tokio::select! {
                     () = watch => {}
                     () = wait_for(&mut relay, false) => {
@@ -91,7 +93,7 @@
                             kind = topic.kind(),
                             "watch stopped, as this VM is no longer a relay"
                         );
-                        end_watch(shared, topic, &mut follow);
+                        end_watch(shared, topic, &mut schedule);
                     }
                 }
             }
@@ -99,8 +101,8 @@
     }
 }
 
-async fn list(shared: &Shared, store: &dyn Store, topic: &mut dyn Topic, follow: &mut Follow) {
-    if follow.failures() == 0 {
+async fn list(shared: &Shared, store: &dyn Store, topic: &mut dyn Topic, schedule: &mut Schedule) {
+    if schedule.failures() == 0 {
         topic.set_reading(true);
     }
     let listed = store.list(topic.kind()).await;
@@ -108,27 +110,29 @@
     let now = shared.now();
     match listed {
         Ok(list) => {
-            if follow.listed(list.version) > 0 {
+            if schedule.record_list(list.version) > 0 {
                 tracing::info!(kind = topic.kind(), version = list.version, "store regained");
             }
-            let changed = shared.reachability.borrow_mut().read(topic.read_mode());
+            let changed = shared.reachability.borrow_mut().record_list(topic.read_mode());
             report_reachability(shared, changed);
             topic.set_reading(true);
-            if shared.peers_without_store.get() >= LOST_NEAR {
+            if shared.peers_without_store.get() >= TAKEOVER_OUTAGE_VMS {
                 topic.store_lost();
             }
             topic.apply_list(list.version, list.objects);
         }
         Err(error) => {
-            if follow.failures() == 0 {
+            if schedule.failures() == 0 {
                 tracing::warn!(kind = topic.kind(), %error, "store lost");
             }
             topic.set_reading(false);
             topic.store_lost();
-            shared.notify_start(start::Event::Refused);
-            follow.failed(now, shared.peers_without_store.get());
-            let changed =
-                shared.reachability.borrow_mut().note(topic.read_mode(), follow.is_blind());
+            shared.notify_start(start::Event::StoreRefused);
+            schedule.record_list_failure(now, shared.peers_without_store.get());
+            let changed = shared
+                .reachability
+                .borrow_mut()
+                .record(topic.read_mode(), schedule.store_unreachable());
             report_reachability(shared, changed);
         }
     }
@@ -139,14 +143,16 @@
     shared: &Shared,
     store: &dyn Store,
     topic: &mut dyn Topic,
-    follow: &mut Follow,
+    schedule: &mut Schedule,
     from: Version,
     wait: Millis,
 ) {
     let kind = topic.kind().to_owned();
     let started_at = shared.now();
-    let watch = timeout((wait + MARGIN).into(), store.watch(&kind, from, wait)).await;
-    let timed_out = || Error::Unknown { reason: format!("no reply in {}", wait + MARGIN) };
+    let watch =
+        timeout((wait + WATCH_REPLY_MARGIN_MS).into(), store.watch(&kind, from, wait)).await;
+    let timed_out =
+        || Error::Unknown { reason: format!("no reply in {}", wait + WATCH_REPLY_MARGIN_MS) };
     let result = watch.unwrap_or_else(|_| Err(timed_out()));
     shared.metrics.count_store_call("watch", &result);
     match result {
@@ -154,7 +160,7 @@
             let has_changes = !objects.is_empty();
             topic.watch_answered();
             objects.into_iter().for_each(|o| topic.apply_change(version, o));
-            follow.watched(shared.now(), version, has_changes);
+            schedule.record_watch(shared.now(), version, has_changes);
             if has_changes {
                 shared.update_ready.notify_one();
             }
@@ -166,25 +172,25 @@
             if shared.now() - started_at >= wait {
                 topic.store_lost();
             }
-            end_watch(shared, topic, follow);
+            end_watch(shared, topic, schedule);
         }
     }
 }
 
 /// Records that the kind is no longer watched.
-fn end_watch(shared: &Shared, topic: &dyn Topic, follow: &mut Follow) {
+fn end_watch(shared: &Shared, topic: &dyn Topic, schedule: &mut Schedule) {
     topic.set_reading(false);
     if !topic.is_known() {
-        shared.notify_start(start::Event::Empty);
+        shared.notify_start(start::Event::StoreEmpty);
     }
-    follow.stop(shared.now());
+    schedule.stop_watch(shared.now());
 }
 
 /// Reports a change in whether this VM can reach the store to other VMs.
 fn report_reachability(shared: &Shared, changed: bool) {
     if changed {
-        let blind = shared.reachability.borrow().is_blind();
-        tracing::info!(blind, "whether the store answers this VM");
+        let unreachable = shared.reachability.borrow().is_unreachable();
+        tracing::info!(blind = unreachable, "whether the store answers this VM");
         shared.update_ready.notify_one();
     }
 }
@@ -193,24 +199,28 @@
 pub(crate) async fn probe(shared: Rc<Shared>, store: Rc<dyn Store>) {
     let kind = &shared.codec.kinds().config;
     loop {
-        sleep(PROBE_EVERY.into()).await;
+        sleep(PROBE_INTERVAL_MS.into()).await;
         if !shared.store_reads.any() {
             continue;
         }
-        let probed = match timeout(PROBE_REPLY.into(), store.probe(kind)).await {
+        let probe_result = match timeout(PROBE_TIMEOUT_MS.into(), store.probe(kind)).await {
             Ok(result) => {
                 shared.metrics.count_store_call("probe", &result);
-                if result.is_ok() { Probed::Answered } else { Probed::Refused }
+                if result.is_ok() { ProbeResult::Answered } else { ProbeResult::Refused }
             }
-            Err(_) => Probed::Silent,
+            Err(_) => ProbeResult::TimedOut,
         };
-        match probed {
+        match probe_result {
             // The store is then available even if a watch hangs.
-            Probed::Answered => shared.world.borrow_mut().upstreams.probed(shared.now()),
-            Probed::Silent => shared.world.borrow_mut().upstreams.lost(shared.now()),
-            Probed::Refused => {}
+            ProbeResult::Answered => {
+                shared.world.borrow_mut().upstreams.record_probe_answer(shared.now());
+            }
+            ProbeResult::TimedOut => {
+                shared.world.borrow_mut().upstreams.record_store_failure(shared.now());
+            }
+            ProbeResult::Refused => {}
         }
-        let changed = shared.reachability.borrow_mut().probed(probed);
+        let changed = shared.reachability.borrow_mut().record_probe(probe_result);
         report_reachability(&shared, changed);
     }
 }
--- a/crates/tgw-gateway/src/watch/upstreams.rs
+++ b/crates/tgw-gateway/src/watch/upstreams.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use tgw_forward::upstream::Entry;
 use tgw_platform::{Object, Version};
-use tgw_spread::follow::Way;
+use tgw_spread::store_reads::ReadMode;
 
 /// Watches the list of upstreams.
 pub(super) struct Upstreams {
@@ -49,8 +49,8 @@
         &self.kind
     }
 
-    fn read_mode(&self) -> Way {
-        Way::Upstreams
+    fn read_mode(&self) -> ReadMode {
+        ReadMode::Upstreams
     }
 
     fn apply_list(&mut self, version: Version, objects: Vec<Object>) {
@@ -71,7 +71,7 @@
         let now = self.shared.now();
         let mut core = self.shared.core.borrow_mut();
         let mut world = self.shared.world.borrow_mut();
-        world.upstreams.listed(now, version, entries, &unreadable, &mut core.fleet);
+        world.upstreams.apply_list(now, version, entries, &unreadable, &mut core.fleet);
         drop((core, world));
         telemetry::suspicion_changes(&self.shared);
         self.shared.upstreams_known.set(true);
@@ -93,9 +93,9 @@
                 tracing::info!(upstream = object.name, service = &*entry.service,
                     addr = %entry.addr, started = entry.started, draining = entry.draining,
                     revision = object.version, "upstream changed");
-                world.upstreams.written(now, object.version, entry, &mut core.fleet);
+                world.upstreams.apply_write(now, object.version, entry, &mut core.fleet);
             }
-            Some(Err(id)) => world.upstreams.unreadable(version, &id, &mut core.fleet),
+            Some(Err(id)) => world.upstreams.apply_unreadable(version, &id, &mut core.fleet),
             None => {
                 tracing::info!(
                     upstream = object.name,
@@ -103,7 +103,7 @@
                     "upstream removed"
                 );
                 let id: Rc<str> = object.name.into();
-                world.upstreams.removed(version, object.version, &id, &mut core.fleet);
+                world.upstreams.apply_removal(version, object.version, &id, &mut core.fleet);
             }
         }
         drop((core, world));
@@ -111,7 +111,7 @@
     }
 
     fn store_lost(&mut self) {
-        self.shared.world.borrow_mut().upstreams.lost(self.shared.now());
+        self.shared.world.borrow_mut().upstreams.record_store_failure(self.shared.now());
     }
 
     fn is_known(&self) -> bool {
@@ -123,6 +123,6 @@
     }
 
     fn watch_answered(&mut self) {
-        self.shared.world.borrow_mut().upstreams.answered(self.shared.now());
+        self.shared.world.borrow_mut().upstreams.record_store_answer(self.shared.now());
     }
 }
--- a/crates/tgw-spread/src/evacuations.rs
+++ b/crates/tgw-spread/src/evacuations.rs
@@ -14,7 +14,7 @@
 
 /// An update from another VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News {
+pub struct Update {
     /// The version of the store that the list is as of.
     pub version: u64,
     /// The evacuated failure domains; some may be unknown to all VMs.
@@ -33,7 +33,7 @@
     }
 
     /// Applies a list read from the store as of `version`; returns whether anything changed.
-    pub fn listed(&mut self, version: u64, domains: BTreeSet<Rc<str>>) -> bool {
+    pub fn apply_list(&mut self, version: u64, domains: BTreeSet<Rc<str>>) -> bool {
         // A peer may have reported later changes than this list has; the watch that follows brings them again.
         let changed = version >= self.version && (self.version == 0 || domains != self.domains);
         if changed {
@@ -49,7 +49,7 @@
     /// anything changed.
     ///
     /// Several changes may carry one version; each is later than the one before.
-    pub fn changed(&mut self, version: u64, domain: &Rc<str>, evacuated: bool) -> bool {
+    pub fn apply_change(&mut self, version: u64, domain: &Rc<str>, evacuated: bool) -> bool {
         if version < self.version {
             return false;
         }
@@ -58,20 +58,20 @@
     }
 
     /// Uses the list of a copy of the store, without a version, as the copy may be out of date.
-    pub fn copied(&mut self, domains: BTreeSet<Rc<str>>) {
+    pub fn apply_copy(&mut self, domains: BTreeSet<Rc<str>>) {
         if self.version == 0 {
             self.domains = domains;
         }
     }
 
     /// The list, if it is newer than `version`.
-    pub fn since(&self, version: u64) -> Option<News> {
+    pub fn update_since(&self, version: u64) -> Option<Update> {
         let Self { domains, .. } = self;
-        (self.version > version).then(|| News { version: self.version, domains: domains.clone() })
+        (self.version > version).then(|| Update { version: self.version, domains: domains.clone() })
     }
 
     /// Applies another VM's update if it is newer, and returns whether it was.
-    pub fn told(&mut self, update: News) -> bool {
+    pub fn apply_update(&mut self, update: Update) -> bool {
         let newer = update.version > self.version;
         if newer {
             (self.version, self.domains) = (update.version, update.domains);
--- a/crates/tgw-spread/src/hop.rs
+++ b/crates/tgw-spread/src/hop.rs
@@ -15,15 +15,18 @@
     /// When its process started, in ms of Unix time.
     pub started: u64,
     /// Whether to send even if the upstream is suspected, as no other one is left.
-    pub insist: bool,
+    #[serde(rename = "insist")]
+    pub fallback: bool,
     /// Whether to charge the send to the receiver's budget, as the sender's is used up.
     pub lent: bool,
     /// Most records of the answer that the reply is a part of; zero if the whole reply is wanted.
     pub limit: u64,
     /// The least record that can be in that answer.
-    pub floor: Option<[u8; 16]>,
+    #[serde(rename = "floor")]
+    pub min_record: Option<[u8; 16]>,
     /// Time left for the reply, in whole ms.
-    pub left: u64,
+    #[serde(rename = "left")]
+    pub time_left_ms: u64,
     /// The method.
     pub method: String,
     /// The path and query, as the caller sent them.
@@ -33,9 +36,11 @@
     /// The body.
     pub body: Vec<u8>,
     /// Fingerprint of the request; the receiver cannot compute it, as it does not know the caller.
-    pub print: Fingerprint,
+    #[serde(rename = "print")]
+    pub fingerprint: Fingerprint,
     /// Rounds in which upstreams ended under the request, as the sender knows them.
-    pub seen: Rounds,
+    #[serde(rename = "seen")]
+    pub rounds: Rounds,
 }
 
 /// The result of a [`Request`].
@@ -55,24 +60,29 @@
         /// Its status.
         status: u16,
         /// The upstream's signature, if there is one.
-        seal: Option<Vec<u8>>,
+        #[serde(rename = "seal")]
+        signature: Option<Vec<u8>>,
         /// The load that the upstream reported in the reply.
         load: Option<Load>,
         /// Its whole body.
         body: Vec<u8>,
     },
     /// Not sent: the VM has as many sends for other VMs in flight as it may.
-    Full,
+    #[serde(rename = "Full")]
+    AtCapacity,
     /// Not sent: the VM has no free connection to the upstream, or suspects it.
     Busy,
     /// Not sent: the VM does not know the upstream, or could not connect to it.
-    Unsent,
+    #[serde(rename = "Unsent")]
+    NotConnected,
     /// The upstream stated that it did not run the request.
     Declined,
     /// The reply was cut off, corrupted, or too large for a packet: the request may have run.
     Broken,
     /// No reply in time: the request may have run.
-    Silent,
+    #[serde(rename = "Silent")]
+    TimedOut,
     /// The upstream's process ended: the request may have run.
-    Gone,
+    #[serde(rename = "Gone")]
+    Terminated,
 }
--- a/crates/tgw-spread/src/lib.rs
+++ b/crates/tgw-spread/src/lib.rs
@@ -6,14 +6,14 @@
 
 /// Evacuated failure domains, whose upstreams receive no further requests.
 pub mod evacuations;
-/// When a VM lists the store, watches it, or leaves that to another VM.
-pub mod follow;
 /// Sends that one VM asks another to make.
 pub mod hop;
 /// Messages between VMs.
 pub mod message;
 /// When a VM that starts reads the store, and which VMs it asks before.
 pub mod start;
+/// When a VM lists the store, watches it, or leaves that to another VM.
+pub mod store_reads;
 /// The list of upstreams, and the fleet that follows it.
 pub mod upstreams;
 /// Values with versions, and the changes since a version.
@@ -22,9 +22,9 @@
 mod world;
 
 pub use evacuations::Evacuations;
-pub use follow::Follow;
 pub use message::Message;
-pub use start::Start;
+pub use start::Bootstrap;
+pub use store_reads::Schedule;
 pub use upstreams::Upstreams;
 pub use versioned_map::{Applied, Delta, VersionedMap};
-pub use world::World;
+pub use world::ReplicatedState;
--- a/crates/tgw-spread/src/message.rs
+++ b/crates/tgw-spread/src/message.rs
@@ -1,6 +1,6 @@
 //! Messages between VMs, over TCP and in packets.
 
-use crate::{Delta, evacuations, hop, start::Found, upstreams};
+use crate::{Delta, evacuations, hop, start::PeerState, upstreams};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use tgw_member::Record;
@@ -20,7 +20,7 @@
 
 impl Versions {
     /// Whether any of these versions is newer than that of `other`.
-    pub fn is_beyond(self, other: Self) -> bool {
+    pub fn is_ahead_of(self, other: Self) -> bool {
         self.config > other.config
             || self.upstreams > other.upstreams
             || self.evacuations > other.evacuations
@@ -32,15 +32,18 @@
 pub enum Message {
     /// Records of VMs, for anti-entropy; not answered.
     Records(Vec<Record>),
-    /// Asks for changes after these versions; answered by [`Message::News`] or [`Message::Busy`].
+    /// Asks for changes after these versions; answered by [`Message::Update`] or [`Message::Busy`].
     Ask {
         /// The versions that the sender holds.
-        held: Versions,
+        #[serde(rename = "held")]
+        versions: Versions,
         /// The address at which the sender can be asked in turn once it has the state.
-        listens: SocketAddr,
+        #[serde(rename = "listens")]
+        listen_addr: SocketAddr,
     },
     /// The changes.
-    News(Box<News>),
+    #[serde(rename = "News")]
+    Update(Box<Update>),
     /// Answers [`Message::Ask`] on a VM that already updates as many others as it may at once: VMs that it
     /// has just updated.
     Busy(Vec<SocketAddr>),
@@ -52,24 +55,27 @@
     /// Membership.
     Member(Box<tgw_member::Packet>),
     /// Reports on overdue or slow upstreams.
-    Late(Vec<Late>),
+    #[serde(rename = "Late")]
+    PeerReports(Vec<PeerReport>),
     /// Asks the receiver to make a send.
     Hop(Box<hop::Request>),
     /// The result of a send that the receiver asked for.
     HopEnded(Box<hop::Reply>),
     /// The receiver may cancel a send, by its number: its result is not needed any more.
     HopCancelled(u64),
-    /// Asks for the versions that the receiver holds; answered by [`Datagram::Found`].
-    Seek,
+    /// Asks for the versions that the receiver holds; answered by [`Datagram::VersionReply`].
+    #[serde(rename = "Seek")]
+    VersionQuery,
     /// The versions that the sender holds.
-    Found(Found),
+    #[serde(rename = "Found")]
+    VersionReply(PeerState),
     /// Upstreams that ended under requests, and quarantined requests.
     Quarantine(quarantine::Update),
 }
 
 /// A report on an overdue or slow upstream.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Late {
+pub struct PeerReport {
     /// Its identity.
     pub upstream: std::rc::Rc<str>,
     /// When its process started, in ms of Unix time.
@@ -77,20 +83,22 @@
     /// Whether a send to it is overdue now.
     pub overdue: bool,
     /// Its expected latency, in ms.
-    pub expected: f32,
+    #[serde(rename = "expected")]
+    pub expected_latency_ms: f32,
 }
 
 /// The changes that the receiver lacks; `None` for a part in which the sender has nothing newer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct News {
+pub struct Update {
     /// The configuration.
     pub config: Option<ConfigUpdate>,
     /// The list of upstreams.
-    pub upstreams: Option<upstreams::News>,
+    pub upstreams: Option<upstreams::Update>,
     /// The evacuated failure domains.
-    pub evacuations: Option<evacuations::News>,
+    pub evacuations: Option<evacuations::Update>,
     /// Quarantined requests, for a VM that starts.
-    pub held: Vec<quarantine::QuarantineState>,
+    #[serde(rename = "held")]
+    pub quarantines: Vec<quarantine::QuarantineState>,
 }
 
 /// Changes of the configuration.
--- a/crates/tgw-spread/src/start.rs
+++ b/crates/tgw-spread/src/start.rs
@@ -50,16 +50,16 @@
 
 /// How long a VM waits for others.
 #[derive(Copy, Clone, Debug, PartialEq)]
-pub struct Waits {
+pub struct Timeouts {
     /// Time until it reads a copy of the store or, as a seed, the store itself.
-    pub copy: Millis,
+    pub copy_timeout: Millis,
     /// Time until it reads the store, unless the fleet starts for the first time.
-    pub alone: Millis,
+    pub no_answer_timeout: Millis,
 }
 
-impl Default for Waits {
+impl Default for Timeouts {
     fn default() -> Self {
-        Self { copy: COPY_TIMEOUT_MS, alone: NO_ANSWER_TIMEOUT_MS }
+        Self { copy_timeout: COPY_TIMEOUT_MS, no_answer_timeout: NO_ANSWER_TIMEOUT_MS }
     }
 }
 
@@ -67,29 +67,30 @@
 #[derive(Clone, Debug)]
 pub struct Options {
     /// Whether this VM is a seed, which others ask first.
-    pub seed: bool,
+    pub is_seed: bool,
     /// Whether the whole fleet starts for the first time.
-    pub first: bool,
+    pub first_start: bool,
     /// The seeds; some may be down or removed.
     pub seeds: Vec<SocketAddr>,
     /// How long this VM waits for others.
-    pub waits: Waits,
+    pub timeouts: Timeouts,
     /// Seed of the random choices.
-    pub random: u64,
+    pub rng_seed: u64,
 }
 
 /// The versions that a VM holds, and whether it reads the store.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Found {
+pub struct PeerState {
     /// The version of its configuration; zero for none.
     pub config: u64,
     /// The version of its list of upstreams; zero for none.
     pub upstreams: u64,
     /// Whether it reads the platform's store and was not refused.
-    pub reads: bool,
+    #[serde(rename = "reads")]
+    pub reads_store: bool,
 }
 
-impl Found {
+impl PeerState {
     fn is_ahead_of(self, other: Self) -> bool {
         self.config > other.config || self.upstreams > other.upstreams
     }
@@ -103,36 +104,36 @@
     /// These VMs may be asked.
     Peers(&'a [SocketAddr]),
     /// A VM has answered a query.
-    Found(SocketAddr, Found),
+    VersionReply(SocketAddr, PeerState),
     /// A VM is busy updating others; these VMs hold what it holds.
     Busy(&'a [SocketAddr]),
     /// A VM that was asked for the state has answered, or cannot be asked.
-    Answered,
+    StateReply,
     /// This VM holds these versions.
-    Holds {
+    OwnVersions {
         /// Of the configuration.
         config: u64,
         /// Of the list of upstreams.
         upstreams: u64,
     },
     /// This VM has read the store and found no configuration, or no upstream.
-    Empty,
+    StoreEmpty,
     /// The store did not answer this VM.
-    Refused,
+    StoreRefused,
 }
 
 /// A message to send.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Query the versions that a VM holds.
-    Seek(SocketAddr),
+    QueryVersions(SocketAddr),
     /// Ask a VM for the state.
-    Ask(SocketAddr),
+    RequestState(SocketAddr),
 }
 
 /// The start of one VM.
 #[derive(Clone, Debug)]
-pub struct Start {
+pub struct Bootstrap {
     seeds: Vec<SocketAddr>,
     peers: Vec<SocketAddr>,
     started_at: Millis,
@@ -151,30 +152,30 @@
     query_at: Millis,
     query_interval: Millis,
     asked_at: Option<Millis>,
-    own: Found,
+    own: PeerState,
     rng: SmallRng,
 }
 
-impl Start {
+impl Bootstrap {
     /// Creates the start of a VM without state at `now`.
     pub fn new(now: Millis, options: Options) -> Self {
-        let mut rng = SmallRng::seed_from_u64(options.random);
-        let Options { seed, first, waits, .. } = options;
+        let mut rng = SmallRng::seed_from_u64(options.rng_seed);
+        let Options { is_seed, first_start, timeouts, .. } = options;
         let jitter = READ_JITTER_MS.scale(rng.random_range(0.0..1.0));
-        let wait = match (seed, first) {
+        let wait = match (is_seed, first_start) {
             (true, true) => Millis::ZERO,
-            (true, false) => waits.copy,
+            (true, false) => timeouts.copy_timeout,
             (false, true) => FIRST_START_TIMEOUT_MS + jitter,
-            (false, false) => waits.alone + jitter,
+            (false, false) => timeouts.no_answer_timeout + jitter,
         };
-        let copies = !seed && !first;
+        let copies = !is_seed && !first_start;
         Self {
             seeds: options.seeds,
             peers: Vec::new(),
             started_at: now,
             read_at: now + wait,
-            copy_at: copies.then_some(now + waits.copy),
-            is_seed: seed,
+            copy_at: copies.then_some(now + timeouts.copy_timeout),
+            is_seed,
             answered: false,
             read_backoff: READ_BACKOFF_MS,
             reader_seen: None,
@@ -182,18 +183,18 @@
             query_at: now,
             query_interval: QUERY_INTERVAL_MS,
             asked_at: None,
-            own: Found::default(),
+            own: PeerState::default(),
             rng,
         }
     }
 
     /// Whether the start is over: this VM holds a configuration and a list of upstreams.
-    pub fn is_over(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.own.config > 0 && self.own.upstreams > 0
     }
 
     /// When this VM has to read the store itself if it has not received the state.
-    pub fn due(&self) -> Millis {
+    pub fn store_read_at(&self) -> Millis {
         let reader_until = self.reader_seen.map_or(Millis::ZERO, |at| at + READER_TIMEOUT_MS);
         let latest = self
             .holder_found
@@ -202,11 +203,11 @@
     }
 
     /// Whether this VM has to read a copy of the store now; true once at most.
-    pub fn reads_copy(&mut self, now: Millis) -> bool {
+    pub fn take_copy_due(&mut self, now: Millis) -> bool {
         let due = self.copy_at.is_some_and(|at| {
             now >= at.max(self.holder_found.map_or(at, |h| h + SLOW_HOLDER_TIMEOUT_MS))
         });
-        let reads = due && !self.is_over();
+        let reads = due && !self.is_complete();
         if reads {
             self.copy_at = None;
         }
@@ -214,25 +215,25 @@
     }
 
     /// Handles one event at `now` and appends the resulting actions.
-    pub fn on(&mut self, now: Millis, event: Event<'_>, out: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: Millis, event: Event<'_>, out: &mut Vec<Action>) {
         match event {
             Event::Tick => self.query(now, out),
             Event::Peers(peers) => self.peers = peers.to_vec(),
-            Event::Found(from, found) => self.found(now, from, found, out),
+            Event::VersionReply(from, state) => self.version_reply(now, from, state, out),
             Event::Busy(others) => {
                 self.asked_at = None;
                 let other = others.choose(&mut self.rng).copied();
                 self.ask(now, other, out);
             }
-            Event::Answered => self.asked_at = None,
-            Event::Holds { config, upstreams } => {
-                self.own = Found { config, upstreams, ..self.own };
+            Event::StateReply => self.asked_at = None,
+            Event::OwnVersions { config, upstreams } => {
+                self.own = PeerState { config, upstreams, ..self.own };
             }
-            Event::Empty => self.back_off(now),
+            Event::StoreEmpty => self.back_off(now),
             // During an outage of the store not all VMs may retry: the seeds do, and update the others. Without this
             // backoff 300 VMs made 2,700 calls in two seconds of an outage, with it 1,240.
-            Event::Refused if self.answered && !self.is_seed => self.back_off(now),
-            Event::Refused => {}
+            Event::StoreRefused if self.answered && !self.is_seed => self.back_off(now),
+            Event::StoreRefused => {}
         }
     }
 
@@ -242,29 +243,35 @@
         self.read_backoff = (self.read_backoff + self.read_backoff).min(MAX_READ_BACKOFF_MS);
     }
 
-    fn found(&mut self, now: Millis, from: SocketAddr, found: Found, out: &mut Vec<Action>) {
+    fn version_reply(
+        &mut self,
+        now: Millis,
+        from: SocketAddr,
+        state: PeerState,
+        out: &mut Vec<Action>,
+    ) {
         self.answered = true;
-        if found.is_ahead_of(self.own) {
+        if state.is_ahead_of(self.own) {
             self.holder_found.get_or_insert(now);
             self.ask(now, Some(from), out);
         }
         // A VM that holds the state can be asked for it. One that neither holds nor reads it, as the store rejects it,
         // is not waited for: the wait would last for as long as the store rejects that VM.
-        if found.reads || found.is_ahead_of(self.own) {
+        if state.reads_store || state.is_ahead_of(self.own) {
             self.reader_seen = Some(now);
         }
     }
 
     fn ask(&mut self, now: Millis, peer: Option<SocketAddr>, out: &mut Vec<Action>) {
         let waits = self.asked_at.is_some_and(|at| now - at < ASK_TIMEOUT_MS);
-        if let Some(peer) = peer.filter(|_| !waits && !self.is_over()) {
+        if let Some(peer) = peer.filter(|_| !waits && !self.is_complete()) {
             self.asked_at = Some(now);
-            out.push(Action::Ask(peer));
+            out.push(Action::RequestState(peer));
         }
     }
 
     fn query(&mut self, now: Millis, out: &mut Vec<Action>) {
-        if now < self.query_at || self.is_over() {
+        if now < self.query_at || self.is_complete() {
             return;
         }
         self.query_at = now + self.query_interval;
@@ -278,6 +285,6 @@
         targets.extend(peers);
         targets.sort_unstable();
         targets.dedup();
-        out.extend(targets.into_iter().map(Action::Seek));
+        out.extend(targets.into_iter().map(Action::QueryVersions));
     }
 }
--- a/crates/tgw-spread/src/follow.rs
+++ b/crates/tgw-spread/src/store_reads.rs
@@ -6,41 +6,41 @@
 
 /// Timing of the watches of a kind.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
-pub struct Pace {
+pub struct WatchTiming {
     /// How long one watch waits for changes.
     pub watch_wait: Millis,
     /// Pause between an update and the next watch.
     pub batch_delay: Millis,
 }
 
-impl Pace {
+impl WatchTiming {
     /// For a kind that changes often.
-    pub const OFTEN: Self = Self { watch_wait: WATCH_WAIT_MS, batch_delay: BATCH_DELAY_MS };
+    pub const FREQUENT: Self = Self { watch_wait: WATCH_WAIT_MS, batch_delay: BATCH_DELAY_MS };
     /// For a kind that changes a few times a day, one change at a time. A stalled connection is detected by probes of
     /// the connection, and a store that does not respond by the watches of the other kinds. The wait is below the time
     /// for which the platform keeps its history: a watch that begins before that history costs an additional list.
-    pub const SELDOM: Self = Self { watch_wait: Millis::new(15_000), batch_delay: Millis::ZERO };
+    pub const RARE: Self = Self { watch_wait: Millis::new(15_000), batch_delay: Millis::ZERO };
 }
 
 /// Time in ms that one watch waits for changes. Each watch costs a call. A stalled connection, while new ones are
-/// answered, is detected only after this time and [`MARGIN`]: together they stay below the 4 s within which an
-/// otherwise undisturbed VM counts as reachable again.
+/// answered, is detected only after this time and [`WATCH_REPLY_MARGIN_MS`]: together they stay below the 4 s within
+/// which an otherwise undisturbed VM counts as reachable again.
 pub const WATCH_WAIT_MS: Millis = Millis::new(2_500);
 /// Time in ms allowed for the reply to a watch beyond its wait; a slow store takes 0.25 s.
-pub const MARGIN: Millis = Millis::new(500);
+pub const WATCH_REPLY_MARGIN_MS: Millis = Millis::new(500);
 /// Time in ms between two probes of the store by a VM that follows it. Without probes, a VM that the store stops
 /// answering would notice only after a watch and several lists, and no VM that learns from it would receive changes
 /// until then.
-pub const PROBE_EVERY: Millis = Millis::new(800);
+pub const PROBE_INTERVAL_MS: Millis = Millis::new(800);
 /// Timeout in ms of a probe.
-pub const PROBE_REPLY: Millis = Millis::new(700);
+pub const PROBE_TIMEOUT_MS: Millis = Millis::new(700);
 /// Pause in ms between an update and the next watch, so that one call brings all changes of the meantime, as when many
 /// upstreams are replaced. It is far below the 3 s within which a change must be in force.
 pub const BATCH_DELAY_MS: Millis = Millis::new(500);
 /// Time in ms between checks of whether this VM has to read the store.
 const RANK_CHECK_INTERVAL_MS: Millis = Millis::new(500);
 /// Time in ms between such checks on a VM that has no data yet.
-pub const LOOK_NEW: Millis = Millis::new(25);
+pub const STARTUP_RANK_CHECK_INTERVAL_MS: Millis = Millis::new(25);
 /// Failed calls in a row that are tolerated; with one more the store counts as unreachable, for this VM or for all.
 const TOLERATED_FAILURES: u32 = 2;
 /// VMs of this domain that cannot reach the store from which on the store counts as down, rather than as rejecting some
@@ -48,7 +48,7 @@
 const OUTAGE_VMS: usize = 3;
 /// VMs of this domain that cannot reach the store from which on a VM that takes over, and is answered at once, assumes
 /// that the store was down, although no call of its own failed: the second of them had taken over from the first.
-pub const LOST_NEAR: usize = 2;
+pub const TAKEOVER_OUTAGE_VMS: usize = 2;
 /// Least failures that the backoff is computed from while the store counts as down, also right after a takeover.
 const OUTAGE_FAILURES: u32 = 5;
 /// Backoff in ms after the first failed call; doubles, and each is drawn between half of it and the whole.
@@ -58,13 +58,13 @@
 
 /// What decides whether this VM has to read the store.
 #[derive(Copy, Clone, Debug)]
-pub struct Turn {
+pub struct ReadRank {
     /// Whether this VM reads on behalf of others; `None` until that is decided.
     pub relay: Option<bool>,
     /// Whether this VM has data of the kind.
-    pub known: bool,
+    pub has_data: bool,
     /// When a VM without data reads the store itself.
-    pub due: Millis,
+    pub read_at: Millis,
 }
 
 /// The next call to the store, or the time to wait for it.
@@ -73,7 +73,7 @@
     /// Another VM reads the store: check again after this time.
     Idle(Millis),
     /// Make no call for this time.
-    Pause(Millis),
+    Backoff(Millis),
     /// Read the whole list.
     List,
     /// Wait for changes after a version.
@@ -95,7 +95,7 @@
 
 /// A kind of call to the store.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum ReadMode {
     /// Reading the configuration.
     Configuration,
     /// Reading the list of upstreams.
@@ -108,13 +108,13 @@
 
 /// How a probe ended.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
-pub enum Probed {
+pub enum ProbeResult {
     /// The store answered.
     Answered,
     /// The store refused it, or the connection broke.
     Refused,
     /// No answer within the timeout.
-    Silent,
+    TimedOut,
 }
 
 /// Whether this VM can reach the store.
@@ -122,60 +122,60 @@
 /// Failures are recorded per kind of call. If one kind overwrote another's result, a VM that the store rejects would
 /// alternate between unreachable and reachable, and no other VM would take over from it.
 #[derive(Clone, Debug, Default)]
-pub struct Sight {
+pub struct Reachability {
     unreachable: [bool; 4],
     last_probe_refused: bool,
 }
 
-impl Sight {
+impl Reachability {
     /// Whether the store counts as unreachable for any kind of call.
-    pub fn is_blind(&self) -> bool {
+    pub fn is_unreachable(&self) -> bool {
         self.unreachable.contains(&true)
     }
 
     /// Records the result of one kind of call. Returns whether that changes the report to other VMs.
-    pub fn note(&mut self, way: Way, unreachable: bool) -> bool {
-        let before = self.is_blind();
-        self.unreachable[way as usize] = unreachable;
-        self.is_blind() != before
+    pub fn record(&mut self, mode: ReadMode, unreachable: bool) -> bool {
+        let before = self.is_unreachable();
+        self.unreachable[mode as usize] = unreachable;
+        self.is_unreachable() != before
     }
 
     /// Records a probe. One refusal may be a broken connection, two in a row are not; a timeout counts at once, as an
     /// answer takes only milliseconds. Returns whether that changes the report to other VMs.
-    pub fn probed(&mut self, probed: Probed) -> bool {
-        let refused = probed == Probed::Refused;
+    pub fn record_probe(&mut self, result: ProbeResult) -> bool {
+        let refused = result == ProbeResult::Refused;
         let again = std::mem::replace(&mut self.last_probe_refused, refused) && refused;
-        match probed {
-            Probed::Refused if !again => false,
-            probed => self.note(Way::Probe, probed != Probed::Answered),
+        match result {
+            ProbeResult::Refused if !again => false,
+            result => self.record(ReadMode::Probe, result != ProbeResult::Answered),
         }
     }
 
     /// Records that a list was read, so that the store is reachable. Returns whether that changes the report to other
     /// VMs.
-    pub fn read(&mut self, way: Way) -> bool {
-        let before = self.is_blind();
-        self.note(way, false);
-        self.probed(Probed::Answered);
-        self.is_blind() != before
+    pub fn record_list(&mut self, mode: ReadMode) -> bool {
+        let before = self.is_unreachable();
+        self.record(mode, false);
+        self.record_probe(ProbeResult::Answered);
+        self.is_unreachable() != before
     }
 }
 
 /// Schedules the calls for one kind.
 #[derive(Clone, Debug)]
-pub struct Follow {
-    pace: Pace,
+pub struct Schedule {
+    timing: WatchTiming,
     state: State,
     backoff_until: Millis,
     failures: u32,
     rng: SmallRng,
 }
 
-impl Follow {
+impl Schedule {
     /// Creates a schedule without data; `seed` is the seed of the random backoff.
-    pub fn new(seed: u64, pace: Pace) -> Self {
+    pub fn new(seed: u64, timing: WatchTiming) -> Self {
         let rng = SmallRng::seed_from_u64(seed);
-        Self { pace, state: State::Inactive, backoff_until: Millis::ZERO, failures: 0, rng }
+        Self { timing, state: State::Inactive, backoff_until: Millis::ZERO, failures: 0, rng }
     }
 
     /// Number of calls that failed in a row.
@@ -184,55 +184,59 @@
     }
 
     /// Whether the store counts as unreachable.
-    pub fn is_blind(&self) -> bool {
+    pub fn store_unreachable(&self) -> bool {
         self.failures > TOLERATED_FAILURES
     }
 
     /// The next step.
-    pub fn next(&mut self, now: Millis, turn: Turn) -> Step {
+    pub fn next_step(&mut self, now: Millis, rank: ReadRank) -> Step {
         if now < self.backoff_until {
-            return Step::Pause(self.backoff_until - now);
+            return Step::Backoff(self.backoff_until - now);
         }
         match self.state {
             // Until it is decided which VMs watch, each VM that has read the store does: changes in the first seconds
             // of a process, such as entries that come back after an outage, reach it in no other way.
-            State::Watching(_) if turn.relay == Some(false) => {
-                self.stop(now);
-                self.next(now, turn)
+            State::Watching(_) if rank.relay == Some(false) => {
+                self.stop_watch(now);
+                self.next_step(now, rank)
             }
-            State::Watching(from) => Step::Watch { from, wait: self.pace.watch_wait },
-            State::Inactive if turn.relay == Some(true) || (!turn.known && now >= turn.due) => {
+            State::Watching(from) => Step::Watch { from, wait: self.timing.watch_wait },
+            State::Inactive
+                if rank.relay == Some(true) || (!rank.has_data && now >= rank.read_at) =>
+            {
                 Step::List
             }
-            State::Inactive => {
-                Step::Idle(if turn.known { RANK_CHECK_INTERVAL_MS } else { LOOK_NEW })
-            }
+            State::Inactive => Step::Idle(if rank.has_data {
+                RANK_CHECK_INTERVAL_MS
+            } else {
+                STARTUP_RANK_CHECK_INTERVAL_MS
+            }),
         }
     }
 
     /// Records that the list was read as of a version. Returns the number of calls that had failed before.
-    pub fn listed(&mut self, version: u64) -> u32 {
+    pub fn record_list(&mut self, version: u64) -> u32 {
         self.state = State::Watching(version);
         std::mem::take(&mut self.failures)
     }
 
     /// Records that a watch was answered, up to a version, and whether it brought changes.
-    pub fn watched(&mut self, now: Millis, version: u64, changed: bool) {
+    pub fn record_watch(&mut self, now: Millis, version: u64, changed: bool) {
         let State::Watching(from) = self.state else { return };
         self.state = State::Watching(from.max(version));
         if changed {
-            self.backoff_until = now + self.pace.batch_delay;
+            self.backoff_until = now + self.timing.batch_delay;
         }
     }
 
     /// Stops watching, as a watch failed or another VM takes over. When this VM next has to read, it reads the list.
-    pub fn stop(&mut self, now: Millis) {
+    pub fn stop_watch(&mut self, now: Millis) {
         self.state = State::Inactive;
         self.back_off(now, 0);
     }
 
     /// Records that the list could not be read, and how many VMs of the domain cannot reach the store either.
-    pub fn failed(&mut self, now: Millis, unreachable_near: usize) {
+    pub fn record_list_failure(&mut self, now: Millis, unreachable_near: usize) {
         self.state = State::Inactive;
         self.failures += 1;
         let least = if unreachable_near >= OUTAGE_VMS { OUTAGE_FAILURES } else { 0 };
--- a/crates/tgw-spread/src/upstreams.rs
+++ b/crates/tgw-spread/src/upstreams.rs
@@ -31,11 +31,12 @@
 
 /// An update of the list from another VM.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct News {
+pub struct Update {
     /// The changes.
     pub delta: Delta<Entry>,
     /// The removed upstreams that the sender retains.
-    pub lapsed: Vec<Retained>,
+    #[serde(rename = "lapsed")]
+    pub retained: Vec<Retained>,
 }
 
 impl Upstreams {
@@ -55,7 +56,7 @@
     }
 
     /// The changes after `version`; `None` if this VM has nothing newer.
-    pub fn since(&self, now: Millis, version: u64) -> Option<News> {
+    pub fn update_since(&self, now: Millis, version: u64) -> Option<Update> {
         if version >= self.version() {
             return None;
         }
@@ -69,11 +70,11 @@
                 (left > 0).then(|| Retained { entry: entry.clone(), left })
             });
         let retained = retained.collect();
-        Some(News { delta, lapsed: retained })
+        Some(Update { delta, retained })
     }
 
     /// Since when and until when an upstream is retained although its entry is missing, if it is.
-    pub fn doubted(&self, id: &str) -> Option<Doubt> {
+    pub fn retention(&self, id: &str) -> Option<Doubt> {
         self.catalog.doubted(id)
     }
 
@@ -83,28 +84,28 @@
     }
 
     /// Records that the store did not answer this VM, or those that this VM takes over from.
-    pub fn lost(&mut self, now: Millis) {
+    pub fn record_store_failure(&mut self, now: Millis) {
         self.catalog.lost(now);
     }
 
     /// Records that the store answered this VM, whether or not anything changed.
-    pub fn answered(&mut self, now: Millis) {
+    pub fn record_store_answer(&mut self, now: Millis) {
         self.catalog.answered(now);
     }
 
-    /// Records that this VM was paused for `gap`.
-    pub fn paused(&mut self, gap: Millis) {
+    /// Excludes a pause of this VM, for `gap`, from the time without answers of the store.
+    pub fn exclude_pause(&mut self, gap: Millis) {
         self.catalog.paused(gap);
     }
 
     /// Records that the store answered a probe of this VM.
-    pub fn probed(&mut self, now: Millis) {
+    pub fn record_probe_answer(&mut self, now: Millis) {
         self.catalog.heard(now);
     }
 
     /// Applies a list of the store as of `version`: its entries, each with its own version, and the identities of
     /// unreadable ones.
-    pub fn listed(
+    pub fn apply_list(
         &mut self,
         now: Millis,
         version: u64,
@@ -120,14 +121,14 @@
     }
 
     /// Applies a copy of the store. The list does not change, as the copy may be out of date.
-    pub fn copied(&mut self, now: Millis, entries: Vec<Entry>, fleet: &mut Fleet) {
+    pub fn apply_copy(&mut self, now: Millis, entries: Vec<Entry>, fleet: &mut Fleet) {
         for entry in entries {
             self.catalog.changed(now, entry, fleet);
         }
     }
 
     /// Applies an entry from the store that was written at `version`.
-    pub fn written(&mut self, now: Millis, version: u64, entry: Entry, fleet: &mut Fleet) {
+    pub fn apply_write(&mut self, now: Millis, version: u64, entry: Entry, fleet: &mut Fleet) {
         let entry = self.latest(entry);
         // A peer's update may be newer than this late report of the store. The fleet changes only if the list does, or
         // an upstream that has left would come back.
@@ -137,7 +138,7 @@
     }
 
     /// Applies a removal at `revision`, which the store reports as of `version`.
-    pub fn removed(&mut self, version: u64, revision: u64, id: &Rc<str>, fleet: &mut Fleet) {
+    pub fn apply_removal(&mut self, version: u64, revision: u64, id: &Rc<str>, fleet: &mut Fleet) {
         // The entry may have been written again after the removal, before `version`.
         let newer = revision > self.entries.written_version(id);
         if self.entries.remove(if newer { revision } else { version }, id) {
@@ -146,17 +147,17 @@
     }
 
     /// Applies the store's report that an entry has become unreadable, as of `version`.
-    pub fn unreadable(&mut self, version: u64, id: &Rc<str>, fleet: &mut Fleet) {
+    pub fn apply_unreadable(&mut self, version: u64, id: &Rc<str>, fleet: &mut Fleet) {
         self.entries.remove(version, id);
         self.catalog.unreadable(id, fleet);
     }
 
     /// Applies another VM's update; returns the changes that took effect. If a copy of the store was used until now
     /// (`copied`), an update that holds all values replaces it.
-    pub fn told(
+    pub fn apply_update(
         &mut self,
         now: Millis,
-        News { mut delta, lapsed: retained }: News,
+        Update { mut delta, retained }: Update,
         copied: bool,
         fleet: &mut Fleet,
     ) -> Applied<Entry> {
@@ -202,7 +203,7 @@
     }
 
     /// Drops the retained upstreams whose entries did not come back in time; returns whether there were any.
-    pub fn tick(&mut self, now: Millis, fleet: &mut Fleet) -> bool {
+    pub fn drop_expired(&mut self, now: Millis, fleet: &mut Fleet) -> bool {
         let dropped = !self.catalog.tick(now, fleet).is_empty();
         if dropped {
             self.refresh_retained(fleet);
--- a/crates/tgw-spread/src/world.rs
+++ b/crates/tgw-spread/src/world.rs
@@ -8,7 +8,7 @@
 
 /// The configuration, the list of upstreams and the evacuations as this VM has them.
 #[derive(Debug, Default)]
-pub struct World {
+pub struct ReplicatedState {
     config: u64,
     routes: VersionedMap<Route>,
     services: VersionedMap<Service>,
@@ -19,7 +19,7 @@
     pub evacuations: Evacuations,
 }
 
-impl World {
+impl ReplicatedState {
     /// Creates an empty state. Upstreams write their entries once per `heartbeat`, if that is known.
     pub fn new(heartbeat: Option<Millis>) -> Self {
         Self { upstreams: Upstreams::new(heartbeat), ..Self::default() }
@@ -35,12 +35,12 @@
     }
 
     /// The version of the configuration; zero before the first.
-    pub fn config(&self) -> u64 {
+    pub fn config_version(&self) -> u64 {
         self.config
     }
 
     /// Applies a configuration from the store; false if it is not newer.
-    pub fn configure(&mut self, config: &Config) -> bool {
+    pub fn apply_config(&mut self, config: &Config) -> bool {
         // A list read before a watch's event may be older than the configuration in force; going back would
         // serve routes that the operators have removed.
         if config.version <= self.config {
@@ -59,7 +59,7 @@
     }
 
     /// The changes of the configuration that a VM at this version lacks.
-    pub fn since(&self, config: u64) -> Option<ConfigUpdate> {
+    pub fn config_update_since(&self, config: u64) -> Option<ConfigUpdate> {
         let behind = config < self.config;
         behind.then(|| ConfigUpdate {
             routes: with_version(self.routes.since(config), self.config),
@@ -69,7 +69,7 @@
     }
 
     /// Applies another VM's update of the configuration; returns the resulting configuration if it is newer.
-    pub fn apply(&mut self, update: ConfigUpdate) -> Option<Config> {
+    pub fn apply_config_update(&mut self, update: ConfigUpdate) -> Option<Config> {
         if update.routes.to <= self.config {
             return None;
         }
--- a/crates/tgw-spread/tests/evacuations/mod.rs
+++ b/crates/tgw-spread/tests/evacuations/mod.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use std::{collections::BTreeSet, rc::Rc};
-use tgw_spread::{Evacuations, evacuations::News};
+use tgw_spread::{Evacuations, evacuations::Update};
 
 fn set(domains: &[&str]) -> BTreeSet<Rc<str>> {
     domains.iter().map(|domain| Rc::from(*domain)).collect()
@@ -12,9 +12,9 @@
 #[test]
 fn older_peer_update_does_not_restore_an_evacuation() {
     let mut vm = Evacuations::default();
-    vm.listed(10, set(&["a"]));
-    vm.listed(30, set(&[]));
-    assert!(!vm.told(News { version: 20, domains: set(&["a"]) }));
+    vm.apply_list(10, set(&["a"]));
+    vm.apply_list(30, set(&[]));
+    assert!(!vm.apply_update(Update { version: 20, domains: set(&["a"]) }));
     assert!(vm.domains().is_empty());
 }
 
@@ -22,10 +22,10 @@
 #[test]
 fn older_store_report_is_ignored() {
     let mut vm = Evacuations::default();
-    vm.listed(10, set(&[]));
-    vm.told(News { version: 30, domains: set(&["b"]) });
-    assert!(!vm.changed(20, &"a".into(), true));
-    assert!(!vm.listed(25, set(&["a"])));
+    vm.apply_list(10, set(&[]));
+    vm.apply_update(Update { version: 30, domains: set(&["b"]) });
+    assert!(!vm.apply_change(20, &"a".into(), true));
+    assert!(!vm.apply_list(25, set(&["a"])));
     assert_eq!(vm.domains(), &set(&["b"]));
 }
 
@@ -33,10 +33,10 @@
 #[test]
 fn all_changes_with_one_version_apply() {
     let mut vm = Evacuations::default();
-    vm.listed(10, set(&["a"]));
-    vm.changed(14, &"a".into(), false);
-    vm.changed(14, &"b".into(), true);
-    vm.changed(14, &"c".into(), true);
+    vm.apply_list(10, set(&["a"]));
+    vm.apply_change(14, &"a".into(), false);
+    vm.apply_change(14, &"b".into(), true);
+    vm.apply_change(14, &"c".into(), true);
     assert_eq!(vm.domains(), &set(&["b", "c"]));
 }
 
@@ -45,10 +45,10 @@
 #[test]
 fn unchanged_list_still_raises_the_version() {
     let (mut reader, mut other) = (Evacuations::default(), Evacuations::default());
-    reader.listed(10, set(&[]));
-    other.told(News { version: 20, domains: set(&["a"]) });
-    reader.listed(40, set(&[]));
-    assert!(other.told(reader.since(other.version()).unwrap()));
+    reader.apply_list(10, set(&[]));
+    other.apply_update(Update { version: 20, domains: set(&["a"]) });
+    reader.apply_list(40, set(&[]));
+    assert!(other.apply_update(reader.update_since(other.version()).unwrap()));
     assert!(other.domains().is_empty());
 }
 
@@ -56,10 +56,10 @@
 #[test]
 fn copy_of_the_store_is_used_until_an_update_arrives() {
     let mut vm = Evacuations::default();
-    vm.copied(set(&["a"]));
-    assert_eq!((vm.domains(), vm.since(0)), (&set(&["a"]), None));
-    vm.told(News { version: 5, domains: set(&[]) });
-    vm.copied(set(&["a"]));
+    vm.apply_copy(set(&["a"]));
+    assert_eq!((vm.domains(), vm.update_since(0)), (&set(&["a"]), None));
+    vm.apply_update(Update { version: 5, domains: set(&[]) });
+    vm.apply_copy(set(&["a"]));
     assert!(vm.domains().is_empty());
 }
 
@@ -103,20 +103,20 @@
                     for at in from + 1..=to {
                         for domain in history[at].symmetric_difference(&history[at - 1]) {
                             let on = history[at].contains(domain);
-                            vms[vm].changed(to as u64, domain, on);
+                            vms[vm].apply_change(to as u64, domain, on);
                         }
                     }
                     followed[vm] = Some(to);
                 }
                 Step::List(vm) => {
                     let at = history.len() - 1;
-                    vms[vm].listed(at as u64, history[at].clone());
+                    vms[vm].apply_list(at as u64, history[at].clone());
                     followed[vm] = Some(at);
                 }
                 Step::Update(from, to) => {
-                    let update = vms[from].since(vms[to].version());
+                    let update = vms[from].update_since(vms[to].version());
                     if let Some(update) = update {
-                        vms[to].told(update);
+                        vms[to].apply_update(update);
                     }
                 }
             }
--- a/crates/tgw-spread/tests/spread.rs
+++ b/crates/tgw-spread/tests/spread.rs
@@ -19,8 +19,8 @@
 };
 use tgw_route::{Config, Residency, Route, Safety, Target};
 use tgw_spread::{
-    Delta, Message, Upstreams, VersionedMap, World, hop,
-    message::{Datagram, Late},
+    Delta, Message, ReplicatedState, Upstreams, VersionedMap, hop,
+    message::{Datagram, PeerReport},
 };
 
 type Values = Vec<(Rc<str>, u32)>;
@@ -137,15 +137,15 @@
 // first of the two edits, asks it for changes and must not go on serving the route.
 #[test]
 fn route_added_and_removed_while_cut_off_is_dropped() {
-    let (mut skipping, mut asking) = (World::default(), World::default());
+    let (mut skipping, mut asking) = (ReplicatedState::default(), ReplicatedState::default());
     for version in [config(3, &["kept"]), config(6, &["kept"])] {
-        skipping.configure(&version);
+        skipping.apply_config(&version);
     }
     for version in [config(3, &["kept"]), config(4, &["kept", "brief"])] {
-        asking.configure(&version);
+        asking.apply_config(&version);
     }
-    let update = skipping.since(asking.config()).unwrap();
-    let routes = asking.apply(update).unwrap().routes;
+    let update = skipping.config_update_since(asking.config_version()).unwrap();
+    let routes = asking.apply_config_update(update).unwrap().routes;
     assert_eq!(routes.iter().map(|r| &*r.name).collect::<Vec<_>>(), ["kept"]);
 }
 
@@ -172,26 +172,27 @@
         number: 7,
         upstream: "u".into(),
         started: 3,
-        insist: true,
+        fallback: true,
         lent: false,
         limit: 50,
-        floor: Some([9; 16]),
-        left: 700,
+        min_record: Some([9; 16]),
+        time_left_ms: 700,
         method: "GET".into(),
         uri: "/a/b".into(),
         headers: vec![("host".into(), b"a.example".to_vec())],
         body: vec![1, 2],
-        print: Fingerprint { content: 7, caller: 8 },
-        seen: Rounds { total: 1, service: 2 },
+        fingerprint: Fingerprint { content: 7, caller: 8 },
+        rounds: Rounds { total: 1, service: 2 },
     };
     let outcome = hop::Outcome::Answered {
         status: 200,
-        seal: Some(b"s".to_vec()),
+        signature: Some(b"s".to_vec()),
         load: None,
         body: vec![3; 32],
     };
-    let report = Late { upstream: "u".into(), started: 3, overdue: true, expected: 12.0 };
-    let (fingerprint, rounds) = (request.print, request.seen);
+    let report =
+        PeerReport { upstream: "u".into(), started: 3, overdue: true, expected_latency_ms: 12.0 };
+    let (fingerprint, rounds) = (request.fingerprint, request.rounds);
     let terminations = vec![Termination { fingerprint, service: 3, upstream: 4, rounds }];
     let states = vec![QuarantineState { fingerprint, service: None, epoch: 1, trials: 0, wait: 9 }];
     vec![
@@ -199,7 +200,7 @@
         Datagram::Hop(Box::new(request)),
         Datagram::HopEnded(Box::new(hop::Reply { number: 7, outcome })),
         Datagram::HopCancelled(7),
-        Datagram::Late(vec![report]),
+        Datagram::PeerReports(vec![report]),
     ]
 }
 
@@ -243,15 +244,15 @@
             let before: Vec<_> = vms.iter().map(start_of).collect();
             let fleet = &mut fleets[receiver];
             match how {
-                0 => vms[receiver].written(now, version, upstream(started), fleet),
+                0 => vms[receiver].apply_write(now, version, upstream(started), fleet),
                 1 => {
                     let listed = vec![(version, upstream(started))];
-                    vms[receiver].listed(now, version, listed, &[], fleet);
+                    vms[receiver].apply_list(now, version, listed, &[], fleet);
                 }
                 _ => {
                     let at = vms[receiver].version();
-                    if let Some(update) = vms[sender].since(now, at) {
-                        vms[receiver].told(now, update, false, fleet);
+                    if let Some(update) = vms[sender].update_since(now, at) {
+                        vms[receiver].apply_update(now, update, false, fleet);
                     }
                 }
             }
--- a/crates/tgw-spread/tests/upstreams/mod.rs
+++ b/crates/tgw-spread/tests/upstreams/mod.rs
@@ -5,7 +5,7 @@
 use tgw_forward::{Fleet, catalog::GRACE, upstream::Entry};
 use tgw_spread::{
     Upstreams,
-    follow::{Probed, Sight, Way},
+    store_reads::{ProbeResult, Reachability, ReadMode},
 };
 
 /// The list of upstreams of one VM, and the fleet that follows it.
@@ -20,13 +20,13 @@
     fn with_upstreams(ids: &[&str]) -> Self {
         let mut vm = Self::default();
         let entries = ids.iter().map(|id| (3, named(id))).collect();
-        vm.list.listed(Millis::ZERO, 4, entries, &[], &mut vm.fleet);
+        vm.list.apply_list(Millis::ZERO, 4, entries, &[], &mut vm.fleet);
         vm
     }
 
     fn update_from(&mut self, now: Millis, other: &Vm) {
-        if let Some(update) = other.list.since(now, self.list.version()) {
-            self.list.told(now, update, false, &mut self.fleet);
+        if let Some(update) = other.list.update_since(now, self.list.version()) {
+            self.list.apply_update(now, update, false, &mut self.fleet);
         }
     }
 
@@ -46,17 +46,17 @@
 fn vm_with_a_retained_upstream_reports_its_removal_and_retention() {
     let mut vms = [Vm::with_upstreams(&["a", "lapsed"]), Vm::with_upstreams(&["a", "lapsed"])];
     let [retaining, asking] = &mut vms;
-    retaining.list.lost(Millis::new(9_900));
+    retaining.list.record_store_failure(Millis::new(9_900));
     let back = Millis::new(10_000);
-    retaining.list.listed(back, 13, vec![(12, named("a"))], &[], &mut retaining.fleet);
-    assert!(retaining.uses("lapsed") && retaining.list.doubted("lapsed").is_some());
+    retaining.list.apply_list(back, 13, vec![(12, named("a"))], &[], &mut retaining.fleet);
+    assert!(retaining.uses("lapsed") && retaining.list.retention("lapsed").is_some());
     assert_eq!((retaining.list.version(), retaining.list.get("lapsed")), (13, None));
     let asked = back + Millis::new(500);
     asking.update_from(asked, retaining);
     assert_eq!((asking.list.version(), asking.list.get("lapsed")), (13, None));
     assert!(asking.uses("lapsed"), "retained, as its process may still run");
     for vm in &mut vms {
-        vm.list.tick(back + GRACE, &mut vm.fleet);
+        vm.list.drop_expired(back + GRACE, &mut vm.fleet);
         assert!(!vm.uses("lapsed") && vm.uses("a"));
     }
 }
@@ -67,10 +67,10 @@
 fn vm_with_a_retained_upstream_still_reports_changes() {
     let (mut retaining, mut asking) =
         (Vm::with_upstreams(&["leaving", "gone"]), Vm::with_upstreams(&["leaving", "gone"]));
-    retaining.list.lost(Millis::new(9_900));
+    retaining.list.record_store_failure(Millis::new(9_900));
     let back = Millis::new(10_000);
-    retaining.list.listed(back, 11, vec![(3, named("leaving"))], &[], &mut retaining.fleet);
-    retaining.list.written(
+    retaining.list.apply_list(back, 11, vec![(3, named("leaving"))], &[], &mut retaining.fleet);
+    retaining.list.apply_write(
         back,
         12,
         Entry { draining: true, ..named("leaving") },
@@ -86,12 +86,12 @@
 #[test]
 fn starting_vm_adopts_retained_upstreams() {
     let (mut retaining, mut starting) = (Vm::with_upstreams(&["a", "lapsed"]), Vm::default());
-    retaining.list.lost(Millis::new(9_900));
+    retaining.list.record_store_failure(Millis::new(9_900));
     let back = Millis::new(10_000);
-    retaining.list.listed(back, 13, vec![(3, named("a"))], &[], &mut retaining.fleet);
+    retaining.list.apply_list(back, 13, vec![(3, named("a"))], &[], &mut retaining.fleet);
     starting.update_from(back, &retaining);
     assert!(starting.uses("lapsed") && starting.list.get("lapsed").is_none());
-    starting.list.tick(back + GRACE, &mut starting.fleet);
+    starting.list.drop_expired(back + GRACE, &mut starting.fleet);
     assert!(!starting.uses("lapsed"));
 }
 
@@ -101,10 +101,10 @@
 fn removed_upstream_is_not_restored_by_a_vm_that_retains_it() {
     let (mut retaining, mut ahead) =
         (Vm::with_upstreams(&["a", "left"]), Vm::with_upstreams(&["a", "left"]));
-    ahead.list.removed(20, 20, &"left".into(), &mut ahead.fleet);
-    retaining.list.lost(Millis::new(9_900));
+    ahead.list.apply_removal(20, 20, &"left".into(), &mut ahead.fleet);
+    retaining.list.record_store_failure(Millis::new(9_900));
     let back = Millis::new(10_000);
-    retaining.list.listed(back, 24, vec![(24, named("a"))], &[], &mut retaining.fleet);
+    retaining.list.apply_list(back, 24, vec![(24, named("a"))], &[], &mut retaining.fleet);
     assert!(retaining.uses("left"));
     ahead.update_from(back, &retaining);
     assert_eq!(ahead.list.version(), 24);
@@ -117,13 +117,13 @@
 fn older_store_report_does_not_restore_an_upstream() {
     let (mut reading, mut ahead) =
         (Vm::with_upstreams(&["a", "left"]), Vm::with_upstreams(&["a", "left"]));
-    ahead.list.removed(20, 20, &"left".into(), &mut ahead.fleet);
+    ahead.list.apply_removal(20, 20, &"left".into(), &mut ahead.fleet);
     let now = Millis::new(5_000);
     reading.update_from(now, &ahead);
     assert!(!reading.uses("left"));
     let listed = vec![(3, named("a")), (3, named("left"))];
-    reading.list.listed(now, 15, listed, &[], &mut reading.fleet);
-    reading.list.written(now, 16, named("left"), &mut reading.fleet);
+    reading.list.apply_list(now, 15, listed, &[], &mut reading.fleet);
+    reading.list.apply_write(now, 16, named("left"), &mut reading.fleet);
     assert!(!reading.uses("left") && reading.uses("a"));
 }
 
@@ -132,8 +132,8 @@
 #[test]
 fn entry_rewritten_right_after_its_removal_is_used() {
     let mut vm = Vm::with_upstreams(&["a"]);
-    vm.list.removed(23, 21, &"a".into(), &mut vm.fleet);
-    vm.list.written(Millis::new(5_000), 22, named("a"), &mut vm.fleet);
+    vm.list.apply_removal(23, 21, &"a".into(), &mut vm.fleet);
+    vm.list.apply_write(Millis::new(5_000), 22, named("a"), &mut vm.fleet);
     assert!(vm.uses("a"));
 }
 
@@ -141,22 +141,22 @@
 // alternate between unreachable and reachable, and the VM that took over would give the watch back.
 #[test]
 fn kinds_of_calls_do_not_overwrite_each_others_results() {
-    let mut reachability = Sight::default();
-    assert!(reachability.note(Way::Configuration, true));
-    assert!(!reachability.note(Way::Upstreams, false));
-    assert!(reachability.is_blind());
-    assert!(reachability.note(Way::Configuration, false));
-    assert!(!reachability.is_blind());
+    let mut reachability = Reachability::default();
+    assert!(reachability.record(ReadMode::Configuration, true));
+    assert!(!reachability.record(ReadMode::Upstreams, false));
+    assert!(reachability.is_unreachable());
+    assert!(reachability.record(ReadMode::Configuration, false));
+    assert!(!reachability.is_unreachable());
 }
 
 // One refused probe may be a broken connection, not a store that rejects this VM. Two in a row or a timeout count.
 #[test]
 fn single_refused_probe_is_ignored() {
-    let mut reachability = Sight::default();
-    assert!(!reachability.probed(Probed::Refused));
-    assert!(!reachability.probed(Probed::Answered));
-    assert!(!reachability.probed(Probed::Refused));
-    assert!(reachability.probed(Probed::Refused));
-    assert!(reachability.probed(Probed::Answered));
-    assert!(reachability.probed(Probed::Silent));
+    let mut reachability = Reachability::default();
+    assert!(!reachability.record_probe(ProbeResult::Refused));
+    assert!(!reachability.record_probe(ProbeResult::Answered));
+    assert!(!reachability.record_probe(ProbeResult::Refused));
+    assert!(reachability.record_probe(ProbeResult::Refused));
+    assert!(reachability.record_probe(ProbeResult::Answered));
+    assert!(reachability.record_probe(ProbeResult::TimedOut));
 }
