--- a/crates/tgw-bench/src/forward.rs
+++ b/crates/tgw-bench/src/forward.rs
@@ -56,11 +56,11 @@
         name: "route".into(),
         host: "a.example".into(),
         prefix: "/".into(),
-        target: Target::Shards(Shards { services, limit: LIMIT, least: 0.75 }),
+        target: Target::Shards(Shards { services, result_limit: LIMIT, min_shard_share: 0.75 }),
         safety: Safety::Idempotent,
         timeout: Millis::new(800),
-        aim: Millis::new(150),
-        attempts: 2,
+        target_latency: Millis::new(150),
+        max_attempts: 2,
         priority: 1,
         residency: Residency::default(),
     })
@@ -77,7 +77,7 @@
         let service: Rc<str> = format!("s{shard}").into();
         config
             .services
-            .insert(service.clone(), Service { connections: 77, warmup: Warmup::default() });
+            .insert(service.clone(), Service { max_connections: 77, warmup: Warmup::default() });
         for domain in domains {
             let entry = Entry {
                 id: format!("i-{shard}-{domain}").into(),
--- a/crates/tgw-bench/src/overload/vms.rs
+++ b/crates/tgw-bench/src/overload/vms.rs
@@ -65,11 +65,11 @@
             name: name.into(),
             host: "a.example".into(),
             prefix: "/".into(),
-            target: Target::Shards(Shards { services, limit: 5, least }),
+            target: Target::Shards(Shards { services, result_limit: 5, min_shard_share: least }),
             safety: Safety::Idempotent,
             timeout: Millis::new(timeout),
-            aim: Millis::new(aim),
-            attempts: 2,
+            target_latency: Millis::new(aim),
+            max_attempts: 2,
             priority: 1,
             residency: Residency::default(),
         })
@@ -86,7 +86,7 @@
         let service: Rc<str> = format!("s{shard}").into();
         config.services.insert(
             service,
-            Service { connections: size.connections(), warmup: Warmup::default() },
+            Service { max_connections: size.connections(), warmup: Warmup::default() },
         );
         (0..REGIONS).for_each(|r| enter(&mut core, Millis::ZERO, upstream(shard, r), 0));
     }
--- a/crates/tgw-bench/src/warmup/vm.rs
+++ b/crates/tgw-bench/src/warmup/vm.rs
@@ -75,9 +75,9 @@
         let policy = Policy { warm_holders: setup.holders as f64, ..Policy::default() };
         let mut core = Core::new(place, Budget::default(), policy);
         core.set_excess(setup.excess);
-        let warmup = Warmup { span: FOREVER, rate: setup.rate };
+        let warmup = Warmup { duration: FOREVER, requests_per_s: setup.rate };
         let mut config = Config::default();
-        config.services.insert(SERVICE.into(), Service { connections: CONNECTIONS, warmup });
+        config.services.insert(SERVICE.into(), Service { max_connections: CONNECTIONS, warmup });
         core.configure(&config);
         core.fleet.put(now, entry());
         let near = setup.vms.div_ceil(REGIONS) as u32;
--- a/crates/tgw-forward/src/answer.rs
+++ b/crates/tgw-forward/src/answer.rs
@@ -21,7 +21,7 @@
 pub(crate) fn is_sufficient(shards: &Shards, count: usize, all: usize) -> bool {
     // The share may be a rounded decimal, as 0.89 for eight of nine.
     const ROUNDING: f64 = 1e-9;
-    count > 0 && count as f64 >= shards.least * all as f64 - ROUNDING
+    count > 0 && count as f64 >= shards.min_shard_share * all as f64 - ROUNDING
 }
 
 /// Decides when a request is answered, and with what.
@@ -30,7 +30,7 @@
         let route = self.route.clone();
         let answer = match &route.target {
             Target::Shards(shards) => self.merged_answer(now, shards),
-            Target::One(_) | Target::Weighted(_) => self.single_answer(),
+            Target::Single(_) | Target::Weighted(_) => self.single_answer(),
         };
         answer.map_or_else(
             || (now >= self.deadline).then_some(Answer::TimedOut),
@@ -55,7 +55,7 @@
         }
         let due = waiting == 0 || now >= self.answer_by || now >= self.deadline;
         (due && is_sufficient(shards, got, all))
-            .then(|| Some(self.merge_parts(shards.limit, all - got)))
+            .then(|| Some(self.merge_parts(shards.result_limit, all - got)))
     }
 
     /// Signature and records of the parts received.
@@ -77,7 +77,7 @@
     /// records can still enter the answer.
     pub(crate) fn part_limits(&self) -> Option<Cut> {
         let Target::Shards(shards) = &self.route.target else { return None };
-        Some(Cut::for_answer(self.received_parts().map(|(_, body)| body), shards.limit))
+        Some(Cut::for_answer(self.received_parts().map(|(_, body)| body), shards.result_limit))
     }
 
     fn failure_answer(&self, now: Millis, core: &Core) -> Answer {
--- a/crates/tgw-forward/src/cold.rs
+++ b/crates/tgw-forward/src/cold.rs
@@ -28,13 +28,16 @@
 
 impl ColdLimits {
     fn terms(&self, service: &str) -> Option<LeaseTerms> {
-        self.services.get(service).and_then(|warmup| LeaseTerms::new(warmup.rate, self.headroom))
+        self.services
+            .get(service)
+            .and_then(|warmup| LeaseTerms::new(warmup.requests_per_s, self.headroom))
     }
 }
 
 impl Fleet {
     pub(crate) fn set_cold_limits(&mut self, config: &Config) {
-        let limited = config.services.iter().filter(|(_, service)| service.warmup.rate > 0.0);
+        let limited =
+            config.services.iter().filter(|(_, service)| service.warmup.requests_per_s > 0.0);
         self.cold_limits.services = limited.map(|(name, s)| (name.clone(), s.warmup)).collect();
     }
 
@@ -58,7 +61,7 @@
             let entry = &upstream.entry;
             let warmup = self.cold_limits.services.get(&entry.service);
             if let Some(warmup) = warmup.filter(|_| domains.contains(&entry.domain)) {
-                upstream.mark_possibly_cold(now + warmup.span + COLD_REPORT_TIMEOUT_MS);
+                upstream.mark_possibly_cold(now + warmup.duration + COLD_REPORT_TIMEOUT_MS);
             }
         }
     }
--- a/crates/tgw-forward/src/core.rs
+++ b/crates/tgw-forward/src/core.rs
@@ -8,7 +8,7 @@
 use std::{collections::HashMap, rc::Rc};
 use tgw_clock::Millis;
 use tgw_quarantine::Tracker;
-use tgw_route::{Config, Residency, Route, Share};
+use tgw_route::{Config, Residency, RoundRobin, Route};
 use tgw_tail::Hedge;
 
 /// Fraction of a route's latency target after which it hedges before any latency was sampled: a
@@ -83,7 +83,7 @@
     residencies: HashMap<Rc<str>, Residency>,
     windows: HashMap<Rc<str>, Window>,
     hedges: HashMap<Rc<str>, [Hedge; 3]>,
-    shares: HashMap<Rc<str>, Share>,
+    shares: HashMap<Rc<str>, RoundRobin>,
 }
 
 impl Core {
@@ -101,9 +101,9 @@
     /// Applies a version of the configuration.
     pub fn configure(&mut self, config: &Config) {
         self.connections =
-            config.services.iter().map(|(name, s)| (name.clone(), s.connections)).collect();
+            config.services.iter().map(|(name, s)| (name.clone(), s.max_connections)).collect();
         self.fleet.set_cold_limits(config);
-        let restricted = config.routes.iter().filter(|route| !route.residency.is_free());
+        let restricted = config.routes.iter().filter(|route| !route.residency.is_unrestricted());
         self.residencies = restricted.map(|r| (r.name.clone(), r.residency.clone())).collect();
         self.windows.retain(|name, _| config.services.contains_key(name));
         self.hedges.retain(|name, _| config.routes.iter().any(|r| r.name == *name));
@@ -239,7 +239,7 @@
 
     /// The hedging state of a route for upstreams at a distance.
     pub(crate) fn hedge(&mut self, route: &Route, distance: Distance) -> &mut Hedge {
-        let start = route.aim.scale(HEDGE_START_FACTOR);
+        let start = route.target_latency.scale(HEDGE_START_FACTOR);
         let share = self.policy.hedge_share;
         let hedges = self
             .hedges
--- a/crates/tgw-forward/src/part.rs
+++ b/crates/tgw-forward/src/part.rs
@@ -105,7 +105,7 @@
 
     /// Whether the route allows one more send.
     pub(crate) fn can_send(&self, route: &Route) -> bool {
-        self.sends - self.declined_sends < route.attempts.max(1) && self.tries < MAX_TRIES
+        self.sends - self.declined_sends < route.max_attempts.max(1) && self.tries < MAX_TRIES
     }
 
     /// Undoes a send that reached no upstream. Unless it was the first, the budget was charged for
--- a/crates/tgw-forward/src/plan.rs
+++ b/crates/tgw-forward/src/plan.rs
@@ -77,7 +77,7 @@
         Self {
             started: now,
             new_connection: options.opened,
-            answer_by: now + route.aim,
+            answer_by: now + route.target_latency,
             deadline: now + (timeout - ANSWER_LEAD_MS),
             retry_spread: options.spread,
             route,
@@ -168,11 +168,13 @@
 
     fn start(&mut self, now: Millis, core: &mut Core, out: &mut Vec<Order>) {
         let route = self.route.clone();
-        let margin =
-            core.margin.lead_time(self.new_connection).min(route.aim.scale(MAX_MARGIN_FACTOR));
-        self.answer_by = now + (route.aim - margin);
+        let margin = core
+            .margin
+            .lead_time(self.new_connection)
+            .min(route.target_latency.scale(MAX_MARGIN_FACTOR));
+        self.answer_by = now + (route.target_latency - margin);
         match &route.target {
-            Target::One(service) => self.parts.push(Part::new(service.clone())),
+            Target::Single(service) => self.parts.push(Part::new(service.clone())),
             Target::Weighted(targets) => {
                 self.parts.extend(core.next_target(&route.name, targets).map(Part::new));
             }
--- a/crates/tgw-forward/src/scope.rs
+++ b/crates/tgw-forward/src/scope.rs
@@ -24,7 +24,7 @@
         [self.at_arrival, self.current]
             .into_iter()
             .flatten()
-            .all(|residency| residency.admits(region))
+            .all(|residency| residency.allows(region))
     }
 }
 
--- a/crates/tgw-forward/src/sends.rs
+++ b/crates/tgw-forward/src/sends.rs
@@ -99,8 +99,10 @@
             if why == Why::First {
                 hedge.request();
             }
-            let delay =
-                hedge.delay().min(route.aim.scale(MAX_HEDGE_DELAY_FACTOR)).max(MIN_HEDGE_DELAY_MS);
+            let delay = hedge
+                .delay()
+                .min(route.target_latency.scale(MAX_HEDGE_DELAY_FACTOR))
+                .max(MIN_HEDGE_DELAY_MS);
             part.late_at = Some(now + delay);
             let far_delay = core.hedge(&route, Distance::Far).delay();
             let latest = (self.answer_by - now) - far_delay;
--- a/crates/tgw-forward/tests/evacuation/mod.rs
+++ b/crates/tgw-forward/tests/evacuation/mod.rs
@@ -24,12 +24,12 @@
 fn evacuated_domain_gets_no_requests_until_evacuation_ends() {
     let mut world = World::new(1);
     evacuate(&mut world, &[NEAR]);
-    world.start(&route(one_service(), Safety::Once));
+    world.start(&route(one_service(), Safety::AtMostOnce));
     assert_eq!(&*world.upstream(0), "s0-far");
     world.advance(60);
     world.reply(0, &[]);
     evacuate(&mut world, &[]);
-    world.start(&route(one_service(), Safety::Once));
+    world.start(&route(one_service(), Safety::AtMostOnce));
     assert_eq!(&*world.upstream(0), "s0-near");
 }
 
@@ -38,7 +38,7 @@
 #[test]
 fn waiting_send_to_evacuated_domain_is_not_made() {
     let mut world = World::new(1);
-    let request = route(one_service(), Safety::Once);
+    let request = route(one_service(), Safety::AtMostOnce);
     world.start(&request);
     let upstream = world.orders[0].ticket.upstream;
     assert!(world.core.permits(Some(&request), upstream));
@@ -68,7 +68,7 @@
 fn request_without_remaining_domain_is_refused_at_once(domains: &[&str], sends: usize) {
     let mut world = World::new(1);
     evacuate(&mut world, domains);
-    let answer = world.start(&route(one_service(), Safety::Once));
+    let answer = world.start(&route(one_service(), Safety::AtMostOnce));
     assert_eq!(world.orders.len(), sends);
     let refused = matches!(answer, Some(Answer::Refused { cause: Cause::NoUpstream, .. }));
     assert_eq!(refused, sends == 0);
--- a/crates/tgw-forward/tests/forward.rs
+++ b/crates/tgw-forward/tests/forward.rs
@@ -31,7 +31,7 @@
 use world::{FAR, NEAR, World, answered, entry, record, route, shards};
 
 fn one_service() -> Target {
-    Target::One("s0".into())
+    Target::Single("s0".into())
 }
 
 #[test]
@@ -151,7 +151,7 @@
 #[test]
 fn at_most_once_is_neither_retried_nor_refused_after_broken_send() {
     let mut world = World::new(1);
-    world.start(&route(one_service(), Safety::Once));
+    world.start(&route(one_service(), Safety::AtMostOnce));
     let answer = world.end(0, Ended::Broken, Sign::Broken);
     assert!(matches!(answer, Some(Answer::Failed(Cause::UpstreamsFailed))), "{answer:?}");
     assert_eq!(world.orders.len(), 1);
@@ -160,7 +160,7 @@
 #[test]
 fn at_most_once_is_not_hedged() {
     let mut world = World::new(1);
-    world.start(&route(one_service(), Safety::Once));
+    world.start(&route(one_service(), Safety::AtMostOnce));
     while world.wake().is_none() {}
     assert_eq!(world.orders.len(), 1);
 }
@@ -169,7 +169,7 @@
 #[test]
 fn request_declined_by_all_upstreams_is_refused_with_retry_after() {
     let mut world = World::new(1);
-    world.start(&route(one_service(), Safety::Once));
+    world.start(&route(one_service(), Safety::AtMostOnce));
     assert!(world.end(0, Ended::Declined, Sign::Shed).is_none());
     let answer = world.end(1, Ended::Declined, Sign::Shed);
     let Some(Answer::Refused { retry_after, cause: Cause::Full }) = answer else {
@@ -194,7 +194,7 @@
 fn unsent_request_does_not_count_as_attempt() {
     let mut world = World::new(1);
     world.core.fleet.put(world.now, entry("s0-third", "s0", FAR));
-    world.start(&route(one_service(), Safety::Once));
+    world.start(&route(one_service(), Safety::AtMostOnce));
     assert!(world.end(0, Ended::Unsent, Sign::Unreachable).is_none());
     assert!(world.end(1, Ended::Declined, Sign::Shed).is_none());
     assert_eq!(world.orders.len(), 3);
@@ -222,7 +222,7 @@
 #[test]
 fn without_upstreams_a_request_is_refused_at_once() {
     let mut world = World::new(1);
-    let target = Target::One("nobody".into());
+    let target = Target::Single("nobody".into());
     let answer = world.start(&route(target, Safety::Idempotent));
     let refused = matches!(answer, Some(Answer::Refused { cause: Cause::NoUpstream, .. }));
     assert!(refused, "{answer:?}");
@@ -314,7 +314,7 @@
     let mut config = Config::default();
     config
         .services
-        .insert("s0".into(), Service { connections: accepted, warmup: Warmup::default() });
+        .insert("s0".into(), Service { max_connections: accepted, warmup: Warmup::default() });
     world.core.configure(&config);
     world.core.set_vms(Vms { all, near });
     let keep = |id: &str| world.core.keep(world.core.fleet.key(id).unwrap()) as u32;
--- a/crates/tgw-forward/tests/load/mod.rs
+++ b/crates/tgw-forward/tests/load/mod.rs
@@ -36,7 +36,7 @@
 }
 
 fn chosen_upstream(world: &mut World) -> Key {
-    world.start(&route(one_service(), Safety::Once));
+    world.start(&route(one_service(), Safety::AtMostOnce));
     let key = world.orders[0].ticket.upstream;
     world.reply(0, &[]);
     key
--- a/crates/tgw-forward/tests/quarantine/mod.rs
+++ b/crates/tgw-forward/tests/quarantine/mod.rs
@@ -147,8 +147,8 @@
 }
 
 // A quarantined request is sent nowhere, and its caller is refused at once with a time to retry.
-#[test_case(Target::One("s0".into()), Safety::Idempotent; "idempotent")]
-#[test_case(Target::One("s0".into()), Safety::Once; "at most once")]
+#[test_case(Target::Single("s0".into()), Safety::Idempotent; "idempotent")]
+#[test_case(Target::Single("s0".into()), Safety::AtMostOnce; "at most once")]
 #[test_case(shards(3), Safety::Idempotent; "a search")]
 fn quarantined_request_is_refused_at_once(target: Target, safety: Safety) {
     let mut world = World::new(3);
@@ -207,7 +207,7 @@
 #[test]
 fn at_most_once_is_not_retried_after_termination() {
     let mut world = World::new(1);
-    world.start(&route(Target::One("s0".into()), Safety::Once));
+    world.start(&route(Target::Single("s0".into()), Safety::AtMostOnce));
     let answer = terminate(&mut world, 0);
     assert!(matches!(answer, Some(Answer::Failed(Cause::UpstreamsFailed))), "{answer:?}");
     assert_eq!(world.orders.len(), 1);
--- a/crates/tgw-forward/tests/reports/mod.rs
+++ b/crates/tgw-forward/tests/reports/mod.rs
@@ -5,7 +5,7 @@
 use tgw_route::{Safety, Target};
 
 fn one_service() -> Target {
-    Target::One("s0".into())
+    Target::Single("s0".into())
 }
 
 // One VM of a region detects a paused upstream. Another VM, which has sent it nothing for a second,
--- a/crates/tgw-forward/tests/residency/mod.rs
+++ b/crates/tgw-forward/tests/residency/mod.rs
@@ -33,7 +33,7 @@
     for service in 0..services {
         config.services.insert(
             format!("s{service}").into(),
-            Service { connections: 32, warmup: Warmup::default() },
+            Service { max_connections: 32, warmup: Warmup::default() },
         );
     }
     world.core.configure(&config);
@@ -41,9 +41,9 @@
 
 // A request whose only home is another region must not go to an upstream near the VM that accepted
 // it.
-#[test_case(one_service(), Safety::Once; "at most once")]
+#[test_case(one_service(), Safety::AtMostOnce; "at most once")]
 #[test_case(one_service(), Safety::Idempotent; "repeatable")]
-#[test_case(Target::Weighted(vec![("s0".into(), 1.0)]), Safety::Once; "weighted")]
+#[test_case(Target::Weighted(vec![("s0".into(), 1.0)]), Safety::AtMostOnce; "weighted")]
 #[test_case(shards(1), Safety::Idempotent; "a search")]
 fn the_first_send_goes_to_a_home_region(target: Target, safety: Safety) {
     let mut world = World::new(1);
@@ -119,8 +119,8 @@
     world.core.fleet.remove("s0-far");
     world.core.fleet.put(world.now, entry("s0-lost", "s0", "lost"));
     world.core.fleet.remove("s0-near");
-    assert!(world.start(&route_with_homes(one_service(), Safety::Once, &["r1"])).is_some());
-    assert!(world.start(&route(one_service(), Safety::Once)).is_none());
+    assert!(world.start(&route_with_homes(one_service(), Safety::AtMostOnce, &["r1"])).is_some());
+    assert!(world.start(&route(one_service(), Safety::AtMostOnce)).is_none());
 }
 
 fn regions() -> impl Strategy<Value = Vec<&'static str>> {
@@ -159,7 +159,7 @@
         world.core.set_vms(Vms { all: near + 3, near });
         world.core.fleet.set_manned(peer_regions.iter().map(|region| (*region).into()).collect());
         let target = if single { one_service() } else { search(shard_count) };
-        let safety = if single && once { Safety::Once } else { Safety::Idempotent };
+        let safety = if single && once { Safety::AtMostOnce } else { Safety::Idempotent };
         let first = route_with_homes(target.clone(), safety, &arrived);
         configure(&mut world, 4, &first);
         let mut required_homes = vec![homes(&arrived)];
@@ -202,7 +202,7 @@
 
 fn search(count: usize) -> Target {
     let services = (0..count).map(|shard| format!("s{shard}").into()).collect();
-    Target::Shards(Shards { services, limit: 3, least: 0.3 })
+    Target::Shards(Shards { services, result_limit: 3, min_shard_share: 0.3 })
 }
 
 /// Checks the sends that were ordered since the last check.
@@ -211,7 +211,7 @@
         let upstream = world.core.fleet.get(order.ticket.upstream).unwrap();
         let region = if upstream.entry.domain == NEAR.into() { REGIONS[0] } else { REGIONS[1] };
         assert!(
-            required_homes.iter().all(|homes| homes.admits(Some(region))),
+            required_homes.iter().all(|homes| homes.allows(Some(region))),
             "{region}: {required_homes:?}"
         );
         // A peer that is asked to send is in the upstream's own region.
--- a/crates/tgw-forward/tests/restart/mod.rs
+++ b/crates/tgw-forward/tests/restart/mod.rs
@@ -11,7 +11,7 @@
 use tgw_route::{Safety, Target};
 
 fn one_service() -> Target {
-    Target::One("s0".into())
+    Target::Single("s0".into())
 }
 
 fn incarnation(at: u64) -> Entry {
@@ -44,7 +44,7 @@
 #[test]
 fn outcome_of_send_to_previous_process_is_ignored() {
     let mut world = World::new(1);
-    let route = route(one_service(), Safety::Once);
+    let route = route(one_service(), Safety::AtMostOnce);
     world.core.fleet.put(world.now, incarnation(100));
     world.start(&route);
     world.core.fleet.put(world.now, incarnation(200));
@@ -61,7 +61,7 @@
 fn possibly_executed_order_is_not_sent_to_new_process(ended: Ended) {
     let mut world = World::new(1);
     world.core.fleet.put(world.now, incarnation(100));
-    world.start(&route(one_service(), Safety::Once));
+    world.start(&route(one_service(), Safety::AtMostOnce));
     assert_eq!(&*world.upstream(0), "s0-near");
     world.core.fleet.put(world.now, incarnation(200));
     let answer = world.end(0, ended, Sign::Broken);
--- a/crates/tgw-forward/tests/warmup/mod.rs
+++ b/crates/tgw-forward/tests/warmup/mod.rs
@@ -41,9 +41,9 @@
 /// second while cold.
 fn world_with_rate(rate: f64, own: u64, near: &[Seat]) -> World {
     let mut world = World::new(1);
-    let warmup = Warmup { span: WARMUP_MS, rate };
+    let warmup = Warmup { duration: WARMUP_MS, requests_per_s: rate };
     let mut config = Config::default();
-    config.services.insert("s0".into(), Service { connections: 73, warmup });
+    config.services.insert("s0".into(), Service { max_connections: 73, warmup });
     world.core.set_excess(HEADROOM);
     world.core.configure(&config);
     world.core.fleet.set_manned(["r2".into()].into());
@@ -232,7 +232,7 @@
         world.start(&route(shards(1), Safety::Idempotent));
         assert_eq!(world.orders[0].hop == Hop::Direct, holds);
         world.end(0, Ended::Busy, Sign::Busy);
-        let answer = world.start(&route(one_service(), Safety::Once));
+        let answer = world.start(&route(one_service(), Safety::AtMostOnce));
         let refused = matches!(answer, Some(Answer::Refused { cause: Cause::Cold, .. }));
         assert_eq!(refused, !holds, "{answer:?}");
     }
@@ -257,7 +257,7 @@
 fn cold_upstream_is_chosen_last() {
     let mut world = world_with_rate(4.0, 1, &[candidate(1)]);
     world.core.fleet.put(world.now, Entry { warmup: WARMUP_MS, ..entry("s0-near", "s0", NEAR) });
-    world.start(&route(one_service(), Safety::Once));
+    world.start(&route(one_service(), Safety::AtMostOnce));
     assert_eq!(&*world.upstream(0), "s0-far");
 }
 
--- a/crates/tgw-forward/tests/window/mod.rs
+++ b/crates/tgw-forward/tests/window/mod.rs
@@ -11,7 +11,7 @@
 use tgw_route::{Safety, Target};
 
 fn one_service() -> Target {
-    Target::One("s0".into())
+    Target::Single("s0".into())
 }
 
 // Many replies are lost, and every request is retried. In any ten seconds the extra sends of a
--- a/crates/tgw-forward/tests/world/mod.rs
+++ b/crates/tgw-forward/tests/world/mod.rs
@@ -35,7 +35,7 @@
 
 pub(crate) fn shards(count: usize) -> Target {
     let services = (0..count).map(|i| format!("s{i}").into()).collect();
-    Target::Shards(Shards { services, limit: 3, least: 0.75 })
+    Target::Shards(Shards { services, result_limit: 3, min_shard_share: 0.75 })
 }
 
 pub(crate) fn route(target: Target, safety: Safety) -> Rc<Route> {
@@ -46,8 +46,8 @@
         target,
         safety,
         timeout: Millis::new(800),
-        aim: Millis::new(150),
-        attempts: 2,
+        target_latency: Millis::new(150),
+        max_attempts: 2,
         priority: 1,
         residency: Residency::default(),
     })
@@ -85,7 +85,7 @@
             let service = format!("s{index}");
             config.services.insert(
                 service.as_str().into(),
-                Service { connections: 32, warmup: Warmup::default() },
+                Service { max_connections: 32, warmup: Warmup::default() },
             );
             for domain in [NEAR, FAR] {
                 let id = format!("{service}-{domain}");
--- a/crates/tgw-gateway/src/callers.rs
+++ b/crates/tgw-gateway/src/callers.rs
@@ -67,7 +67,7 @@
         // head. It is set to the idle timeout; heads that take too long are found by the periodic
         // sweep.
         .header_read_timeout(Duration::from(limits.idle_timeout))
-        .max_buf_size(limits.head.max(MIN_BUFFER_BYTES))
+        .max_buf_size(limits.max_head_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     let mut serving = pin!(serving);
     let mut phase = shared.phase.subscribe();
--- a/crates/tgw-gateway/src/handle.rs
+++ b/crates/tgw-gateway/src/handle.rs
@@ -190,7 +190,7 @@
     if body.is_end_stream() {
         return Ok((Bytes::new(), None));
     }
-    let limit = shared.config.borrow().limits.body;
+    let limit = shared.config.borrow().limits.max_body_bytes;
     let stated = body.size_hint().upper().and_then(|size| usize::try_from(size).ok());
     if stated.is_some_and(|size| size > limit) {
         return Err(BodyError::TooLong);
--- a/crates/tgw-gateway/src/telemetry.rs
+++ b/crates/tgw-gateway/src/telemetry.rs
@@ -174,7 +174,7 @@
         Answer::TimedOut => ("timed out", "", false),
     };
     shared.metrics.count_request(&route.name, outcome, cause, plan.age(now));
-    let late = plan.age(now) > route.aim;
+    let late = plan.age(now) > route.target_latency;
     let category = if complete && !late { Category::Routine } else { Category::Outcome };
     if !shared.log_limiter.allows(now, category) {
         return;
--- a/crates/tgw-route/src/config.rs
+++ b/crates/tgw-route/src/config.rs
@@ -35,9 +35,11 @@
     /// The longest time that a caller waits for a response.
     pub timeout: Millis,
     /// The target latency: an answer within this time has its full value to the caller.
-    pub aim: Millis,
+    #[serde(rename = "aim")]
+    pub target_latency: Millis,
     /// The maximum number of upstreams that one request is sent to, for each shard.
-    pub attempts: u32,
+    #[serde(rename = "attempts")]
+    pub max_attempts: u32,
     /// The priority of its requests; zero is the highest.
     pub priority: u32,
     /// The regions in which its requests may be served.
@@ -52,14 +54,16 @@
     Idempotent,
     /// It runs at most once.
     #[display("at-most-once")]
-    Once,
+    #[serde(rename = "Once")]
+    AtMostOnce,
 }
 
 /// The destination of the requests of a route.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Target {
     /// One service.
-    One(Rc<str>),
+    #[serde(rename = "One")]
+    Single(Rc<str>),
     /// One of several services, selected by weight.
     Weighted(Vec<(Rc<str>, f64)>),
     /// Every shard.
@@ -72,16 +76,19 @@
     /// The services.
     pub services: Vec<Rc<str>>,
     /// The maximum number of records in an answer.
-    pub limit: usize,
+    #[serde(rename = "limit")]
+    pub result_limit: usize,
     /// The minimum share of the shards (0 to 1) that a successful answer contains.
-    pub least: f64,
+    #[serde(rename = "least")]
+    pub min_shard_share: f64,
 }
 
 /// A service's settings.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Service {
     /// The number of connections that each upstream accepts from all callers together.
-    pub connections: u32,
+    #[serde(rename = "connections")]
+    pub max_connections: u32,
     /// The load that its upstreams accept until they are warm.
     pub warmup: Warmup,
 }
@@ -90,18 +97,22 @@
 #[derive(Copy, Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Warmup {
     /// How long an upstream is cold after its start.
-    pub span: Millis,
+    #[serde(rename = "span")]
+    pub duration: Millis,
     /// Requests per second that it accepts while cold; zero if not stated.
-    pub rate: f64,
+    #[serde(rename = "rate")]
+    pub requests_per_s: f64,
 }
 
 /// Limits on callers' requests and connections.
 #[derive(Copy, Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
     /// Maximum size of a request head, in bytes.
-    pub head: usize,
+    #[serde(rename = "head")]
+    pub max_head_bytes: usize,
     /// Maximum size of a request body, in bytes.
-    pub body: usize,
+    #[serde(rename = "body")]
+    pub max_body_bytes: usize,
     /// Time allowed for receiving a request head.
     pub head_timeout: Millis,
     /// How long a keep-alive connection may stay idle.
@@ -112,8 +123,8 @@
     /// Limits until the first configuration is known: values common for HTTP servers.
     fn default() -> Self {
         Self {
-            head: 16 << 10,
-            body: 256 << 10,
+            max_head_bytes: 16 << 10,
+            max_body_bytes: 256 << 10,
             head_timeout: Millis::new(3_000),
             idle_timeout: Millis::new(15_000),
         }
--- a/crates/tgw-route/src/residency.rs
+++ b/crates/tgw-route/src/residency.rs
@@ -9,12 +9,13 @@
 
 impl Residency {
     /// Whether a request may be sent to a region; `None` is an unknown region.
-    pub fn admits(&self, region: Option<&str>) -> bool {
-        self.is_free() || region.is_some_and(|region| self.0.iter().any(|home| **home == *region))
+    pub fn allows(&self, region: Option<&str>) -> bool {
+        self.is_unrestricted()
+            || region.is_some_and(|region| self.0.iter().any(|home| **home == *region))
     }
 
     /// Whether all regions are allowed.
-    pub fn is_free(&self) -> bool {
+    pub fn is_unrestricted(&self) -> bool {
         self.0.is_empty()
     }
 }
--- a/crates/tgw-route/src/round_robin.rs
+++ b/crates/tgw-route/src/round_robin.rs
@@ -3,7 +3,7 @@
 /// Smooth weighted round robin: distributes requests over services so that every prefix of the
 /// sequence is close to the weights.
 #[derive(Clone, Debug, Default)]
-pub struct Share {
+pub struct RoundRobin {
     entries: Vec<Entry>,
 }
 
@@ -14,7 +14,7 @@
     credit: f64,
 }
 
-impl Share {
+impl RoundRobin {
     /// The next service of `targets`, or `None` if no weight is positive. Credits are kept when the
     /// weights change, so that a new version of the configuration does not restart the sequence.
     pub fn next(&mut self, targets: &[(Rc<str>, f64)]) -> Option<Rc<str>> {
--- a/crates/tgw-route/tests/route.rs
+++ b/crates/tgw-route/tests/route.rs
@@ -5,18 +5,18 @@
 use std::rc::Rc;
 use test_case::test_case;
 use tgw_clock::Millis;
-use tgw_route::{Config, Residency, Route, Safety, Share, Table, Target};
+use tgw_route::{Config, Residency, RoundRobin, Route, Safety, Table, Target};
 
 fn route(name: &str, host: &str, prefix: &str) -> Rc<Route> {
     Rc::new(Route {
         name: name.into(),
         host: host.into(),
         prefix: prefix.into(),
-        target: Target::One("service".into()),
+        target: Target::Single("service".into()),
         safety: Safety::Idempotent,
         timeout: Millis::new(800),
-        aim: Millis::new(150),
-        attempts: 2,
+        target_latency: Millis::new(150),
+        max_attempts: 2,
         priority: 1,
         residency: Residency::default(),
     })
@@ -45,10 +45,10 @@
 #[test]
 fn every_prefix_of_the_sequence_is_close_to_the_weights() {
     let weights: [(Rc<str>, f64); 3] = [("a".into(), 0.6), ("b".into(), 0.3), ("c".into(), 0.1)];
-    let mut share = Share::default();
+    let mut round_robin = RoundRobin::default();
     let mut counts = [0.0; 3];
     for sent in 1..=1000 {
-        let service = share.next(&weights).unwrap();
+        let service = round_robin.next(&weights).unwrap();
         let index = weights.iter().position(|w| w.0 == service).unwrap();
         counts[index] += 1.0;
         for (count, (_, weight)) in counts.iter().zip(&weights) {
@@ -62,17 +62,17 @@
 // receive the first request every time.
 #[test]
 fn changed_weights_keep_credits() {
-    let mut share = Share::default();
+    let mut round_robin = RoundRobin::default();
     let mut small = 0;
     for version in 0..100 {
         let weight = 0.2 + f64::from(version) / 1_000_000.0;
         let weights: [(Rc<str>, f64); 2] = [("big".into(), 1.0 - weight), ("small".into(), weight)];
-        small += u32::from(&*share.next(&weights).unwrap() == "small");
+        small += u32::from(&*round_robin.next(&weights).unwrap() == "small");
     }
     assert!((19..=21).contains(&small), "{small} of 100");
 }
 
 #[test]
 fn zero_weight_selects_no_service() {
-    assert_eq!(Share::default().next(&[("a".into(), 0.0)]), None);
+    assert_eq!(RoundRobin::default().next(&[("a".into(), 0.0)]), None);
 }
