--- a/crates/tgw-bench/src/forward.rs
+++ b/crates/tgw-bench/src/forward.rs
@@ -18,7 +18,7 @@
     plan::{Ended, Event, Options, Response},
     upstream::{Entry, Sign},
 };
-use tgw_quarantine::{Fingerprint, message::Seen};
+use tgw_quarantine::{Fingerprint, message::Rounds};
 use tgw_route::{Config, Residency, Route, Safety, Service, Target, Warmup, config::Shards};
 use tgw_spread::{
     hop::{Outcome, Reply, Request},
@@ -56,11 +56,15 @@
         name: "route".into(),
         host: "a.example".into(),
         prefix: "/".into(),
-        target: Target::Shards(Shards { services, limit: RESULT_LIMIT, least: 0.75 }),
+        target: Target::Shards(Shards {
+            services,
+            result_limit: RESULT_LIMIT,
+            min_shard_share: 0.75,
+        }),
         safety: Safety::Idempotent,
         timeout: Millis::new(800),
-        aim: Millis::new(150),
-        attempts: 2,
+        target_latency: Millis::new(150),
+        max_attempts: 2,
         priority: 1,
         residency: Residency::default(),
     })
@@ -77,7 +81,7 @@
         let service: Rc<str> = format!("s{shard}").into();
         config
             .services
-            .insert(service.clone(), Service { connections: 77, warmup: Warmup::default() });
+            .insert(service.clone(), Service { max_connections: 77, warmup: Warmup::default() });
         for domain in domains {
             let entry = Entry {
                 id: format!("i-{shard}-{domain}").into(),
@@ -161,21 +165,21 @@
         number: 7,
         upstream: "i-7f3a91c2aa".into(),
         started: 1_700_000_000_000,
-        insist: false,
+        fallback: false,
         lent: false,
         limit: 50,
-        floor: None,
-        left: 700,
+        min_record: None,
+        time_left_ms: 700,
         method: "GET".into(),
         uri: "/nono601/no91/2f".into(),
         headers: headers.map(|name| (name.into(), b"9c41d07be2a35f68".to_vec())).into(),
         body: Vec::new(),
-        print: Fingerprint { content: 0x9c41_d07b_e2a3_5f68, caller: 0x9c41_d07b },
-        seen: Seen::default(),
+        fingerprint: Fingerprint { content: 0x9c41_d07b_e2a3_5f68, caller: 0x9c41_d07b },
+        rounds: Rounds::default(),
     }));
     let outcome = Outcome::Answered {
         status: 200,
-        seal: Some(b"3e1b.07.5a2.600.0.c9f2a4d1".to_vec()),
+        signature: Some(b"3e1b.07.5a2.600.0.c9f2a4d1".to_vec()),
         load: None,
         body: part(1).to_vec(),
     };
--- a/crates/tgw-bench/src/leaving/actions.rs
+++ b/crates/tgw-bench/src/leaving/actions.rs
@@ -9,7 +9,10 @@
 use tgw_clock::Millis;
 use tgw_forward::upstream::Entry;
 use tgw_member::Event;
-use tgw_spread::follow::{LOST_NEAR, MARGIN, PROBE_EVERY, PROBE_REPLY, Probed, Step};
+use tgw_spread::store_reads::{
+    PROBE_INTERVAL_MS, PROBE_TIMEOUT_MS, ProbeResult, Step, TAKEOVER_OUTAGE_VMS,
+    WATCH_REPLY_MARGIN_MS,
+};
 
 /// One-way delay between VMs, within a region and between regions.
 pub(super) const SAME_REGION_DELAY_MS: Millis = Millis::from_micros(1_400);
@@ -24,9 +27,9 @@
         if state.call.is_some() {
             return;
         }
-        let step = state.store_schedule.next(self.now, state.turn());
+        let step = state.store_schedule.next_step(self.now, state.rank());
         match step {
-            Step::Idle(time) | Step::Pause(time) => self.schedule_step(vm, self.now + time),
+            Step::Idle(time) | Step::Backoff(time) => self.schedule_step(vm, self.now + time),
             Step::List | Step::Watch { .. } => self.call(vm, step),
         }
     }
@@ -46,7 +49,8 @@
             Step::Watch { wait, .. } => wait,
             _ => Millis::ZERO,
         };
-        let limit = if waits > Millis::ZERO { MARGIN } else { STORE_CALL_TIMEOUT_MS };
+        let limit =
+            if waits > Millis::ZERO { WATCH_REPLY_MARGIN_MS } else { STORE_CALL_TIMEOUT_MS };
         self.schedule(self.now + waits + limit, Scheduled::Failed(vm, number));
         if waits > Millis::ZERO {
             // The watch ends without changes.
@@ -59,16 +63,16 @@
 
     /// A VM that watches the store probes whether it answers.
     pub(super) fn probe(&mut self, vm: usize) {
-        self.schedule(self.now + PROBE_EVERY, Scheduled::Probe(vm));
+        self.schedule(self.now + PROBE_INTERVAL_MS, Scheduled::Probe(vm));
         if self.vms[vm].relay != Some(true) {
             return;
         }
-        let (after, probed) = match self.store_fault(vm) {
-            None => (self.answer_delay(), Probed::Answered),
-            Some(FaultKind::Refused) => (STORE_REPLY_MS, Probed::Refused),
-            Some(_) => (PROBE_REPLY, Probed::Silent),
+        let (after, result) = match self.store_fault(vm) {
+            None => (self.answer_delay(), ProbeResult::Answered),
+            Some(FaultKind::Refused) => (STORE_REPLY_MS, ProbeResult::Refused),
+            Some(_) => (PROBE_TIMEOUT_MS, ProbeResult::TimedOut),
         };
-        self.schedule(self.now + after, Scheduled::Probed(vm, probed));
+        self.schedule(self.now + after, Scheduled::Probed(vm, result));
     }
 
     /// Ends a call and returns it, if it is still in flight.
@@ -89,12 +93,12 @@
             return;
         }
         let state = &mut self.vms[vm];
-        if state.member.platform_unreachable_count() >= LOST_NEAR {
-            state.view.with_upstreams(|view| view.lost(self.now));
+        if state.member.platform_unreachable_count() >= TAKEOVER_OUTAGE_VMS {
+            state.view.with_upstreams(|view| view.record_store_failure(self.now));
         }
-        state.store_schedule.listed(version);
-        state.reachability.read(state.view.read_mode());
-        state.view.listed(self.now, version, entries);
+        state.store_schedule.record_list(version);
+        state.reachability.record_list(state.view.read_mode());
+        state.view.apply_list(self.now, version, entries);
         self.announce(vm);
         self.step(vm);
     }
@@ -111,9 +115,9 @@
         }
         let state = &mut self.vms[vm];
         let has_changes = !changes.is_empty();
-        state.view.with_upstreams(|view| view.answered(self.now));
-        changes.into_iter().for_each(|change| state.view.changed(self.now, version, change));
-        state.store_schedule.watched(self.now, version, has_changes);
+        state.view.with_upstreams(|view| view.record_store_answer(self.now));
+        changes.into_iter().for_each(|change| state.view.apply_change(self.now, version, change));
+        state.store_schedule.record_watch(self.now, version, has_changes);
         if has_changes {
             self.announce(vm);
         }
@@ -127,17 +131,19 @@
         let unreachable_count = state.member.platform_unreachable_count();
         match step {
             Step::List => {
-                state.view.with_upstreams(|view| view.lost(self.now));
-                state.store_schedule.failed(self.now, unreachable_count);
-                state.reachability.note(state.view.read_mode(), state.store_schedule.is_blind());
+                state.view.with_upstreams(|view| view.record_store_failure(self.now));
+                state.store_schedule.record_list_failure(self.now, unreachable_count);
+                state
+                    .reachability
+                    .record(state.view.read_mode(), state.store_schedule.store_unreachable());
             }
             Step::Watch { wait, .. } => {
                 if self.now - began >= wait {
-                    state.view.with_upstreams(|view| view.lost(self.now));
+                    state.view.with_upstreams(|view| view.record_store_failure(self.now));
                 }
-                state.store_schedule.stop(self.now);
+                state.store_schedule.stop_watch(self.now);
             }
-            Step::Idle(_) | Step::Pause(_) => {}
+            Step::Idle(_) | Step::Backoff(_) => {}
         }
         self.announce(vm);
         self.step(vm);
@@ -166,7 +172,7 @@
         let watching = state.call.filter(|c| matches!(c.step, Step::Watch { .. }));
         if let Some(call) = watching.filter(|_| relay == Some(false)) {
             state.call = None;
-            state.store_schedule.stop(self.now);
+            state.store_schedule.stop_watch(self.now);
             self.waiting.retain(|w| w.1 != call.number);
         }
         self.step(vm);
--- a/crates/tgw-bench/src/leaving/peers.rs
+++ b/crates/tgw-bench/src/leaving/peers.rs
@@ -39,7 +39,9 @@
                 Action::PeerNewer { addr, catalog_version, evacuations_version, .. } => {
                     self.request_update(vm, addr, catalog_version.max(evacuations_version));
                 }
-                Action::Paused(gap) => self.vms[vm].view.with_upstreams(|view| view.paused(gap)),
+                Action::Paused(gap) => {
+                    self.vms[vm].view.with_upstreams(|view| view.exclude_pause(gap))
+                }
                 Action::DirectoryChanged => {}
             }
         }
@@ -84,7 +86,7 @@
         version: u64,
         asked_at: Millis,
     ) {
-        let update = self.vms[vm].view.since(self.now, version);
+        let update = self.vms[vm].view.update_since(self.now, version);
         if let Some((to, delay)) = self.delivery(vm, address(from)) {
             self.schedule(self.now + delay, Scheduled::Update { to, asked_at, update });
         }
--- a/crates/tgw-bench/src/leaving/platform.rs
+++ b/crates/tgw-bench/src/leaving/platform.rs
@@ -7,7 +7,7 @@
 use rand::{Rng, seq::SliceRandom};
 use tgw_clock::Millis;
 use tgw_forward::upstream::Entry;
-use tgw_spread::follow::Step;
+use tgw_spread::store_reads::Step;
 
 /// Time in which the store answers, normally and when it is slow.
 pub(super) const STORE_REPLY_MS: Millis = Millis::new(12);
@@ -175,7 +175,7 @@
                 self.schedule(reply, Scheduled::Watched(vm, call, version, changes));
             }
             Step::Watch { from, wait } => self.waiting.push((vm, call, from, self.now + wait)),
-            Step::Idle(_) | Step::Pause(_) => {}
+            Step::Idle(_) | Step::Backoff(_) => {}
         }
     }
 }
--- a/crates/tgw-bench/src/leaving/simulation.rs
+++ b/crates/tgw-bench/src/leaving/simulation.rs
@@ -16,8 +16,8 @@
 use tgw_forward::upstream::Entry;
 use tgw_member::{Event, Member, Options, Packet, Record};
 use tgw_spread::{
-    Follow,
-    follow::{Probed, Sight},
+    Schedule,
+    store_reads::{ProbeResult, Reachability},
 };
 use tgw_topology::{
     Place, Vm as Id,
@@ -42,7 +42,7 @@
     Records { to: usize, records: Vec<Record> },
     Step(usize, u64),
     Probe(usize),
-    Probed(usize, Probed),
+    Probed(usize, ProbeResult),
     CallReceived(usize, u64),
     Listed(usize, u64, u64, Vec<(u64, Entry)>),
     Watched(usize, u64, u64, Vec<Change>),
@@ -172,8 +172,8 @@
             region,
             member: Member::new(options),
             view: View::new(self.setup.subject, &self.store),
-            store_schedule: Follow::new(self.rng.random(), self.setup.subject.pace()),
-            reachability: Sight::default(),
+            store_schedule: Schedule::new(self.rng.random(), self.setup.subject.timing()),
+            reachability: Reachability::default(),
             relay: None,
             call: None,
             steps: 0,
@@ -236,15 +236,17 @@
             Scheduled::Step(vm, number) if number == self.vms[vm].steps => self.step(vm),
             Scheduled::Step(..) => {}
             Scheduled::Probe(vm) => self.probe(vm),
-            Scheduled::Probed(vm, probed) => {
-                match probed {
-                    Probed::Answered => {
-                        self.vms[vm].view.with_upstreams(|view| view.probed(self.now));
+            Scheduled::Probed(vm, result) => {
+                match result {
+                    ProbeResult::Answered => {
+                        self.vms[vm].view.with_upstreams(|view| view.record_probe_answer(self.now));
                     }
-                    Probed::Silent => self.vms[vm].view.with_upstreams(|view| view.lost(self.now)),
-                    Probed::Refused => {}
+                    ProbeResult::TimedOut => {
+                        self.vms[vm].view.with_upstreams(|view| view.record_store_failure(self.now))
+                    }
+                    ProbeResult::Refused => {}
                 }
-                self.vms[vm].reachability.probed(probed);
+                self.vms[vm].reachability.record_probe(result);
                 self.announce(vm);
             }
             Scheduled::CallReceived(vm, call) => self.receive_call(vm, call),
--- a/crates/tgw-bench/src/leaving/view.rs
+++ b/crates/tgw-bench/src/leaving/view.rs
@@ -8,7 +8,7 @@
 use tgw_forward::{Fleet, upstream::Entry};
 use tgw_spread::{
     Delta, Evacuations, Upstreams, evacuations,
-    follow::{Pace, Way},
+    store_reads::{ReadMode, WatchTiming},
     upstreams,
 };
 
@@ -23,8 +23,8 @@
 /// An update from another VM.
 #[derive(Debug)]
 pub(crate) enum Update {
-    Upstreams(upstreams::News),
-    Evacuations(evacuations::News),
+    Upstreams(upstreams::Update),
+    Evacuations(evacuations::Update),
 }
 
 fn domains(entries: Vec<(u64, Entry)>) -> BTreeSet<Rc<str>> {
@@ -40,22 +40,22 @@
                 let changed = store.list().into_iter().map(|(v, e)| (e.id.clone(), v, e)).collect();
                 let to = store.revision;
                 let delta = Delta { from: None, to, changed, removed: vec![], gaps: vec![] };
-                let update = upstreams::News { delta, lapsed: vec![] };
-                upstreams.told(Millis::ZERO, update, false, &mut fleet);
+                let update = upstreams::Update { delta, retained: vec![] };
+                upstreams.apply_update(Millis::ZERO, update, false, &mut fleet);
                 Self::Upstreams(Box::new((upstreams, fleet)))
             }
             Subject::Evacuations => {
                 let mut view = Evacuations::default();
-                view.listed(store.revision, domains(store.list()));
+                view.apply_list(store.revision, domains(store.list()));
                 Self::Evacuations(view)
             }
         }
     }
 
-    pub(crate) fn read_mode(&self) -> Way {
+    pub(crate) fn read_mode(&self) -> ReadMode {
         match self {
-            Self::Upstreams(_) => Way::Upstreams,
-            Self::Evacuations(_) => Way::Evacuations,
+            Self::Upstreams(_) => ReadMode::Upstreams,
+            Self::Evacuations(_) => ReadMode::Evacuations,
         }
     }
 
@@ -66,24 +66,24 @@
         }
     }
 
-    pub(crate) fn listed(&mut self, now: Millis, version: u64, entries: Vec<(u64, Entry)>) {
+    pub(crate) fn apply_list(&mut self, now: Millis, version: u64, entries: Vec<(u64, Entry)>) {
         match self {
-            Self::Upstreams(view) => view.0.listed(now, version, entries, &[], &mut view.1),
+            Self::Upstreams(view) => view.0.apply_list(now, version, entries, &[], &mut view.1),
             Self::Evacuations(view) => {
-                view.listed(version, domains(entries));
+                view.apply_list(version, domains(entries));
             }
         }
     }
 
-    pub(crate) fn changed(&mut self, now: Millis, version: u64, change: Change) {
+    pub(crate) fn apply_change(&mut self, now: Millis, version: u64, change: Change) {
         let (revision, id, entry) = change;
         match self {
             Self::Upstreams(view) => match entry {
-                Some(entry) => view.0.written(now, revision, entry, &mut view.1),
-                None => view.0.removed(version, revision, &id, &mut view.1),
+                Some(entry) => view.0.apply_write(now, revision, entry, &mut view.1),
+                None => view.0.apply_removal(version, revision, &id, &mut view.1),
             },
             Self::Evacuations(view) => {
-                view.changed(version, &id, entry.is_some());
+                view.apply_change(version, &id, entry.is_some());
             }
         }
     }
@@ -98,24 +98,24 @@
 
     pub(crate) fn tick(&mut self, now: Millis) {
         if let Self::Upstreams(view) = self {
-            view.0.tick(now, &mut view.1);
+            view.0.drop_expired(now, &mut view.1);
         }
     }
 
-    pub(crate) fn since(&self, now: Millis, version: u64) -> Option<Update> {
+    pub(crate) fn update_since(&self, now: Millis, version: u64) -> Option<Update> {
         match self {
-            Self::Upstreams(view) => view.0.since(now, version).map(Update::Upstreams),
-            Self::Evacuations(view) => view.since(version).map(Update::Evacuations),
+            Self::Upstreams(view) => view.0.update_since(now, version).map(Update::Upstreams),
+            Self::Evacuations(view) => view.update_since(version).map(Update::Evacuations),
         }
     }
 
     pub(crate) fn apply_update(&mut self, now: Millis, update: Update) {
         match (self, update) {
             (Self::Upstreams(view), Update::Upstreams(update)) => {
-                view.0.told(now, update, false, &mut view.1);
+                view.0.apply_update(now, update, false, &mut view.1);
             }
             (Self::Evacuations(view), Update::Evacuations(update)) => {
-                view.told(update);
+                view.apply_update(update);
             }
             _ => {}
         }
@@ -146,10 +146,10 @@
 }
 
 impl Subject {
-    pub(crate) fn pace(self) -> Pace {
+    pub(crate) fn timing(self) -> WatchTiming {
         match self {
-            Self::Upstreams => Pace::OFTEN,
-            Self::Evacuations => Pace::SELDOM,
+            Self::Upstreams => WatchTiming::FREQUENT,
+            Self::Evacuations => WatchTiming::RARE,
         }
     }
 }
--- a/crates/tgw-bench/src/leaving/vm.rs
+++ b/crates/tgw-bench/src/leaving/vm.rs
@@ -3,8 +3,8 @@
 use tgw_clock::Millis;
 use tgw_member::{Event, Member};
 use tgw_spread::{
-    Follow,
-    follow::{Sight, Step, Turn},
+    Schedule,
+    store_reads::{Reachability, ReadRank, Step},
 };
 
 /// A call of the store that is in flight.
@@ -21,8 +21,8 @@
     pub(crate) region: usize,
     pub(crate) member: Member,
     pub(crate) view: View,
-    pub(crate) store_schedule: Follow,
-    pub(crate) reachability: Sight,
+    pub(crate) store_schedule: Schedule,
+    pub(crate) reachability: Reachability,
     pub(crate) relay: Option<bool>,
     pub(crate) call: Option<Call>,
     /// Number of the last scheduled step; earlier ones are ignored.
@@ -37,8 +37,8 @@
 }
 
 impl Vm {
-    pub(crate) fn turn(&self) -> Turn {
-        Turn { relay: self.relay, known: true, due: Millis::MAX }
+    pub(crate) fn rank(&self) -> ReadRank {
+        ReadRank { relay: self.relay, has_data: true, read_at: Millis::MAX }
     }
 
     /// Events that announce its version and whether it reaches the store.
@@ -48,6 +48,6 @@
             View::Upstreams(_) => Event::CatalogVersion(version),
             View::Evacuations(_) => Event::EvacuationsVersion(version),
         };
-        vec![update, Event::PlatformUnreachable(self.reachability.is_blind())]
+        vec![update, Event::PlatformUnreachable(self.reachability.is_unreachable())]
     }
 }
--- a/crates/tgw-bench/src/overload/run.rs
+++ b/crates/tgw-bench/src/overload/run.rs
@@ -27,7 +27,7 @@
     plan::{self, Answer, Ended, Order, Response},
     upstream::Sign,
 };
-use tgw_quarantine::message::{End, News};
+use tgw_quarantine::message::{Termination, Update};
 use tgw_route::Route;
 
 /// One-way delay in ms between regions and within one.
@@ -117,12 +117,12 @@
         vm: usize,
         upstream: usize,
         generation: u32,
-        end: End,
+        end: Termination,
     },
     /// A VM receives an update on upstreams that ended.
     UpdateReceived {
         vm: usize,
-        update: News,
+        update: Update,
     },
     /// All VMs remove an upstream that ended.
     Unlisted {
@@ -357,7 +357,10 @@
         let ended = self
             .schedule(at + delay, Event::Ended { vm, query: number, part, ticket, sign, ended });
         let arrives = now + delay;
-        self.record_in_flight(upstream, InFlight { ended, hosted, arrives, from, print, seen });
+        self.record_in_flight(
+            upstream,
+            InFlight { ended, hosted, arrives, from, print, rounds: seen },
+        );
     }
 
     /// How a part of a query ends at its upstream.
--- a/crates/tgw-bench/src/overload/termination.rs
+++ b/crates/tgw-bench/src/overload/termination.rs
@@ -6,8 +6,9 @@
 use tgw_clock::Millis;
 use tgw_forward::{plan::Ended, upstream::Sign};
 use tgw_quarantine::{
-    Fingerprint, ledger,
-    message::{End, News, Seen},
+    Fingerprint,
+    message::{Rounds, Termination, Update},
+    tracker,
 };
 
 /// Time after which the store no longer lists an upstream that ended.
@@ -27,7 +28,7 @@
     /// The VM on whose connection it arrives.
     pub(super) from: usize,
     pub(super) print: Fingerprint,
-    pub(super) seen: Seen,
+    pub(super) rounds: Rounds,
 }
 
 /// Upstreams that end, and the processes that replace them.
@@ -51,13 +52,13 @@
         self.schedule(now + UNLIST_DELAY_MS, Event::Unlisted { upstream, generation });
         self.schedule(restart_at, Event::Started { upstream, generation: generation + 1 });
         for request in std::mem::take(&mut self.in_flight[upstream]) {
-            let InFlight { ended, hosted, arrives, from, print, seen } = request;
+            let InFlight { ended, hosted, arrives, from, print, rounds } = request;
             let held = arrives <= now;
             let delay = self.pool.delay(self.vms[from].region, upstream % REGIONS);
             // The sender opens a new connection after the break, which is refused.
             let reconnect_delay = delay.scale(2.0);
             if held {
-                let end = termination_report(upstream, generation, print, seen);
+                let end = termination_report(upstream, generation, print, rounds);
                 self.schedule(
                     now + delay + reconnect_delay,
                     Event::EndDetected { vm: from, upstream, generation, end },
@@ -88,31 +89,31 @@
         now: Millis,
         vm: usize,
         (upstream, generation): (usize, u32),
-        end: &End,
+        end: &Termination,
     ) {
         let core = &mut self.vms[vm].core;
         if let Some(key) = core.fleet.key(&name(upstream, generation)) {
             core.fleet.lost(now, key);
         }
-        core.quarantine.ended(now, end);
+        core.quarantine.record_end(now, end);
         self.forward_updates(now, vm);
     }
 
     /// A VM receives an update on quarantined requests from a peer.
-    pub(super) fn receive_update(&mut self, now: Millis, vm: usize, update: &News) {
-        let ledger = &mut self.vms[vm].core.quarantine;
-        for end in &update.ends {
-            ledger.ended(now, end);
+    pub(super) fn receive_update(&mut self, now: Millis, vm: usize, update: &Update) {
+        let tracker = &mut self.vms[vm].core.quarantine;
+        for end in &update.terminations {
+            tracker.record_end(now, end);
         }
-        for hold in &update.holds {
-            ledger.merge(now, hold);
+        for state in &update.states {
+            tracker.merge(now, state);
         }
         self.forward_updates(now, vm);
     }
 
     /// Forwards the updates that are new to a VM to some randomly chosen peers.
     fn forward_updates(&mut self, now: Millis, vm: usize) {
-        while let Some(update) = self.vms[vm].core.quarantine.take_news() {
+        while let Some(update) = self.vms[vm].core.quarantine.take_update() {
             let others: Vec<usize> = (0..self.vms.len()).filter(|other| *other != vm).collect();
             for at in index::sample(&mut self.rng, others.len(), UPDATE_FANOUT.min(others.len())) {
                 let to = others[at];
@@ -143,9 +144,19 @@
     }
 }
 
-fn termination_report(upstream: usize, generation: u32, print: Fingerprint, seen: Seen) -> End {
-    let service = ledger::name(&format!("s{}", upstream / REGIONS));
-    End { print, service, upstream: ledger::name(&name(upstream, generation)), seen }
+fn termination_report(
+    upstream: usize,
+    generation: u32,
+    print: Fingerprint,
+    rounds: Rounds,
+) -> Termination {
+    let service = tracker::hash_name(&format!("s{}", upstream / REGIONS));
+    Termination {
+        fingerprint: print,
+        service,
+        upstream: tracker::hash_name(&name(upstream, generation)),
+        rounds,
+    }
 }
 
 /// Identity of an upstream's process of this generation.
--- a/crates/tgw-bench/src/starts/simulation.rs
+++ b/crates/tgw-bench/src/starts/simulation.rs
@@ -7,8 +7,8 @@
 };
 use tgw_clock::Millis;
 use tgw_spread::{
-    Start,
-    start::{Action, Event, Found, Options, Waits},
+    Bootstrap,
+    start::{Action, Event, Options, PeerState, Timeouts},
 };
 
 /// Interval between a VM's timer checks, as in the gateway.
@@ -40,7 +40,7 @@
 enum Scheduled {
     Tick(usize),
     VersionQuery { to: usize, from: usize },
-    VersionReply { to: usize, from: usize, found: Found },
+    VersionReply { to: usize, from: usize, state: PeerState },
     StateRequest { to: usize, from: usize },
     Busy { to: usize, others: Vec<usize> },
     StateReceived { to: usize, from: usize },
@@ -49,7 +49,7 @@
 }
 
 struct Vm {
-    start: Start,
+    start: Bootstrap,
     at: Millis,
     dies: Option<Millis>,
     refused: bool,
@@ -119,14 +119,14 @@
             let dies = if down { Some(Millis::ZERO) } else { setup.seeds_die.map(|d| at + d) };
             let others = seeds.iter().filter(|s| **s != number).map(|s| address(*s)).collect();
             let options = Options {
-                seed,
-                first: setup.first_start,
+                is_seed: seed,
+                first_start: setup.first_start,
                 seeds: others,
-                waits: Waits::default(),
-                random: rng.random(),
+                timeouts: Timeouts::default(),
+                rng_seed: rng.random(),
             };
             vms.push(Vm {
-                start: Start::new(at, options),
+                start: Bootstrap::new(at, options),
                 at,
                 dies: dies.filter(|_| seed),
                 refused: rng.random_bool(setup.refused),
@@ -192,12 +192,12 @@
             Scheduled::Tick(vm) => self.tick(vm),
             Scheduled::VersionQuery { to, from } => {
                 let held = u64::from(self.vms[to].synced_at.is_some());
-                let reads = self.vms[to].reading;
-                let found = Found { config: held, upstreams: held, reads };
-                self.packet(to, from, Scheduled::VersionReply { to: from, from: to, found });
+                let reads_store = self.vms[to].reading;
+                let state = PeerState { config: held, upstreams: held, reads_store };
+                self.packet(to, from, Scheduled::VersionReply { to: from, from: to, state });
             }
-            Scheduled::VersionReply { to, from, found } => {
-                self.handle_event(to, Event::Found(address(from), found));
+            Scheduled::VersionReply { to, from, state } => {
+                self.handle_event(to, Event::VersionReply(address(from), state));
             }
             Scheduled::StateRequest { to, from } => self.serve_request(to, from),
             Scheduled::Busy { to, others } => {
@@ -207,7 +207,7 @@
             Scheduled::StateReceived { to, from } => {
                 self.vms[from].sending -= 1;
                 self.vms[from].served.push(to);
-                self.handle_event(to, Event::Answered);
+                self.handle_event(to, Event::StateReply);
                 self.take_state(to);
             }
             Scheduled::StoreRead(vm) => self.read(vm),
@@ -220,14 +220,14 @@
 
     fn handle_event(&mut self, vm: usize, event: Event<'_>) {
         let mut actions = Vec::new();
-        self.vms[vm].start.on(self.now, event, &mut actions);
+        self.vms[vm].start.handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Seek(addr) => {
+                Action::QueryVersions(addr) => {
                     let to = index(addr);
                     self.packet(vm, to, Scheduled::VersionQuery { to, from: vm });
                 }
-                Action::Ask(addr) => {
+                Action::RequestState(addr) => {
                     let to = index(addr);
                     // A connection setup and a request take three one-way delays.
                     let delay = self.delay(vm, to);
@@ -262,7 +262,7 @@
         let now = self.now;
         self.vms[vm].synced_at.get_or_insert(now);
         self.vms[vm].ready_at.get_or_insert(now);
-        self.handle_event(vm, Event::Holds { config: 1, upstreams: 1 });
+        self.handle_event(vm, Event::OwnVersions { config: 1, upstreams: 1 });
     }
 
     fn answers(&self, vm: usize) -> bool {
@@ -273,15 +273,16 @@
         self.handle_event(vm, Event::Tick);
         let now = self.now;
         let transfer = Millis::new(STATE_BYTES * 3 / LINK_BYTES_PER_MS);
-        if self.vms[vm].start.reads_copy(now) {
+        if self.vms[vm].start.take_copy_due(now) {
             self.calls += COPY_READ_CALLS;
             if self.answers(vm) {
                 self.schedule(now + STORE_REPLY_MS + transfer, Scheduled::CopyRead(vm));
             }
         }
         let state = &self.vms[vm];
-        let read_due =
-            !state.start.is_over() && now >= state.start.due() && now >= state.read_again;
+        let read_due = !state.start.is_complete()
+            && now >= state.start.store_read_at()
+            && now >= state.read_again;
         if read_due && !state.reading {
             self.vms[vm].reading = true;
             self.vms[vm].read = true;
@@ -298,7 +299,7 @@
             return self.take_state(vm);
         }
         self.vms[vm].reading = false;
-        self.handle_event(vm, Event::Refused);
+        self.handle_event(vm, Event::StoreRefused);
         self.vms[vm].read_again = self.now + READ_BACKOFF_MS;
     }
 
--- a/crates/tgw-forward/src/sends.rs
+++ b/crates/tgw-forward/src/sends.rs
@@ -7,7 +7,7 @@
     upstream::Distance,
 };
 use tgw_clock::Millis;
-use tgw_quarantine::message::Seen;
+use tgw_quarantine::message::Rounds;
 use tgw_route::Safety;
 
 /// Lower bound of the hedge delay in ms; earlier hedges duplicated replies that were about to
@@ -70,7 +70,7 @@
             }
             Permission::Denied => return self.give_up_quarantined(index, why),
         };
-        if why == Why::Hedge && seen != Seen::default() {
+        if why == Why::Hedge && seen != Rounds::default() {
             return;
         }
         let route = self.route.clone();
@@ -99,8 +99,10 @@
             if why == Why::First {
                 hedge.record_request();
             }
-            let delay =
-                hedge.delay().min(route.aim.scale(MAX_HEDGE_DELAY_FACTOR)).max(MIN_HEDGE_DELAY_MS);
+            let delay = hedge
+                .delay()
+                .min(route.target_latency.scale(MAX_HEDGE_DELAY_FACTOR))
+                .max(MIN_HEDGE_DELAY_MS);
             part.late_at = Some(now + delay);
             let far_delay = core.hedge(&route, Distance::Far).delay();
             let latest = (self.answer_by - now) - far_delay;
