--- a/crates/tgw-bench/src/forward.rs
+++ b/crates/tgw-bench/src/forward.rs
@@ -15,8 +15,8 @@
     core::Budget,
     fleet::Place,
     merge,
-    plan::{Ended, Event, Options, Response},
-    upstream::{Entry, Sign},
+    plan::{Event, Options, Response, SendResult},
+    upstream::{Entry, SendOutcome},
 };
 use tgw_quarantine::{Fingerprint, message::Seen};
 use tgw_route::{Config, Residency, Route, Safety, Service, Target, Warmup, config::Shards};
@@ -104,7 +104,7 @@
 fn decide(shards: usize) -> f64 {
     let (route, mut core) = (route(shards), core(shards));
     let bodies: Vec<Bytes> = (0..shards).map(part).collect();
-    let seals: Vec<HeaderValue> = (0..shards).map(|i| HeaderValue::from(i as u64)).collect();
+    let signatures: Vec<HeaderValue> = (0..shards).map(|i| HeaderValue::from(i as u64)).collect();
     let queries = PARTS / shards;
     let (mut orders, mut answered) = (Vec::new(), 0);
     let start = Instant::now();
@@ -112,27 +112,27 @@
         let now = Millis::new(20 * query as u64);
         let options = Options {
             route: route.clone(),
-            patience: None,
-            opened: false,
-            spread: query as u32,
-            print: Fingerprint { content: query as u64, caller: 0 },
+            caller_timeout: None,
+            new_connection: false,
+            retry_spread: query as u32,
+            fingerprint: Fingerprint { content: query as u64, caller: 0 },
         };
         let mut plan = Plan::new(now, &options);
-        let mut answer = plan.on(now, Event::Start, &mut core, &mut orders);
+        let mut answer = plan.handle(now, Event::Start, &mut core, &mut orders);
         let later = now + Millis::new(10);
         for order in orders.drain(..) {
-            core.fleet.end(later, order.ticket, Sign::Reply);
+            core.fleet.record_outcome(later, order.ticket, SendOutcome::Reply);
             let response = Response {
                 status: StatusCode::OK,
                 headers: HeaderMap::new(),
-                seal: Some(seals[order.part].clone()),
+                signature: Some(signatures[order.part].clone()),
                 load: None,
                 body: bodies[order.part].clone(),
             };
-            let ended = Ended::Answered(Box::new(response));
+            let result = SendResult::Answered(Box::new(response));
             let upstream = order.ticket.upstream;
-            let event = Event::Ended { part: order.part, upstream, ended };
-            answer = answer.or(plan.on(later, event, &mut core, &mut Vec::new()));
+            let event = Event::SendEnded { part: order.part, upstream, result };
+            answer = answer.or(plan.handle(later, event, &mut core, &mut Vec::new()));
         }
         answered += usize::from(answer.is_some());
     }
--- a/crates/tgw-bench/src/overload/death.rs
+++ b/crates/tgw-bench/src/overload/death.rs
@@ -4,7 +4,7 @@
 };
 use rand::seq::index;
 use tgw_clock::Millis;
-use tgw_forward::{plan::Ended, upstream::Sign};
+use tgw_forward::{plan::SendResult, upstream::SendOutcome};
 use tgw_quarantine::{
     Fingerprint, ledger,
     message::{End, News, Seen},
@@ -61,17 +61,17 @@
                 self.at(now + way + looked, Event::Lost { vm: from, upstream, life, end });
             }
             let at = arrives.max(now);
-            let sign = if held { Sign::Broken } else { Sign::Unreachable };
+            let outcome = if held { SendOutcome::Broken } else { SendOutcome::Unreachable };
             if let Some(Event::Hosted { vm, ticket, .. }) =
                 hosted.and_then(|h| self.events.remove(&h))
             {
-                self.at(at + looked, Event::Hosted { vm, ticket, sign, load: None });
+                self.at(at + looked, Event::Hosted { vm, ticket, outcome, load: None });
             }
             if let Some(Event::Ended { vm, query, part, ticket, .. }) = self.events.remove(&ended) {
                 let way = self.world.way(self.vms[vm].region, upstream % REGIONS);
-                let ended = if held { Ended::Gone } else { Ended::Unsent };
+                let result = if held { SendResult::Terminated } else { SendResult::NotConnected };
                 let look = if held { looked } else { Millis::ZERO };
-                self.at(at + way + look, Event::Ended { vm, query, part, ticket, sign, ended });
+                self.at(at + way + look, Event::Ended { vm, query, part, ticket, outcome, result });
             }
         }
     }
@@ -86,7 +86,7 @@
     ) {
         let core = &mut self.vms[vm].core;
         if let Some(key) = core.fleet.key(&name(upstream, life)) {
-            core.fleet.lost(now, key);
+            core.fleet.mark_unreachable(now, key);
         }
         core.quarantine.ended(now, end);
         self.pass_on(now, vm);
--- a/crates/tgw-bench/src/overload/figures.rs
+++ b/crates/tgw-bench/src/overload/figures.rs
@@ -8,7 +8,7 @@
     ops::Range,
 };
 use tgw_clock::Millis;
-use tgw_forward::plan::{Answer, Why};
+use tgw_forward::plan::{Answer, Trigger};
 
 /// What is counted while trouble lasts.
 #[derive(Clone, Debug, Default)]
@@ -67,10 +67,10 @@
         !query.deadly && self.counted.contains(&query.first.as_f64())
     }
 
-    pub(super) fn send(&mut self, query: &Query, why: Why, region: usize) {
+    pub(super) fn send(&mut self, query: &Query, trigger: Trigger, region: usize) {
         if self.counts(query) {
             self.sends += 1;
-            self.firsts += u64::from(why == Why::First);
+            self.firsts += u64::from(trigger == Trigger::First);
             self.far += u64::from(region != query.region);
         }
     }
--- a/crates/tgw-bench/src/overload/run.rs
+++ b/crates/tgw-bench/src/overload/run.rs
@@ -24,8 +24,8 @@
     fleet::{Hop, Key, Ticket},
     hosting,
     load::Load,
-    plan::{self, Answer, Ended, Order, Response},
-    upstream::Sign,
+    plan::{self, Answer, Response, SendOrder, SendResult},
+    upstream::SendOutcome,
 };
 use tgw_quarantine::message::{End, News};
 use tgw_route::Route;
@@ -96,14 +96,14 @@
         query: usize,
         part: usize,
         ticket: Ticket,
-        sign: Sign,
-        ended: Ended,
+        outcome: SendOutcome,
+        result: SendResult,
     },
     /// A send that a VM made for another ended there.
     Hosted {
         vm: usize,
         ticket: Ticket,
-        sign: Sign,
+        outcome: SendOutcome,
         load: Option<Load>,
     },
     Restart,
@@ -137,9 +137,9 @@
 }
 
 /// The load that a send's reply told.
-fn told(ended: &Ended) -> Option<Load> {
-    match ended {
-        Ended::Answered(response) => response.load,
+fn told(result: &SendResult) -> Option<Load> {
+    match result {
+        SendResult::Answered(response) => response.load,
         _ => None,
     }
 }
@@ -242,16 +242,16 @@
             match self.events.remove(&number) {
                 Some(Event::Arrive(query)) => self.arrive(now, query),
                 Some(Event::Wake(query)) => self.wake(now, query),
-                Some(Event::Ended { vm, query, part, ticket, sign, ended }) => {
-                    let load = told(&ended);
+                Some(Event::Ended { vm, query, part, ticket, outcome, result }) => {
+                    let load = told(&result);
                     self.hear_load(now, vm, ticket, load);
-                    self.close(now, vm, ticket, sign);
+                    self.close(now, vm, ticket, outcome);
                     let upstream = ticket.upstream;
-                    self.step(now, query, plan::Event::Ended { part, upstream, ended });
+                    self.step(now, query, plan::Event::SendEnded { part, upstream, result });
                 }
-                Some(Event::Hosted { vm, ticket, sign, load }) => {
+                Some(Event::Hosted { vm, ticket, outcome, load }) => {
                     self.hear_load(now, vm, ticket, load);
-                    self.close(now, vm, ticket, sign);
+                    self.close(now, vm, ticket, outcome);
                 }
                 Some(Event::Restart) => self.restart(),
                 Some(Event::End { upstream, life }) => self.end(now, upstream, life),
@@ -271,7 +271,13 @@
         let route = self.routes[usize::from(!query.full)].clone();
         let left = query.first + query.patience() - now;
         let (spread, print) = (query.seed as u32, query.print());
-        let options = plan::Options { route, patience: Some(left), opened: false, spread, print };
+        let options = plan::Options {
+            route,
+            caller_timeout: Some(left),
+            new_connection: false,
+            retry_spread: spread,
+            fingerprint: print,
+        };
         let plan = Plan::new(now, &options);
         let running = Running { plan, query, sends: 0, wake: Millis::MAX };
         self.running.insert(number, running);
@@ -289,8 +295,8 @@
         let vm = running.query.vm;
         let mut orders = Vec::new();
         let core = &mut self.vms[vm].core;
-        let answer = running.plan.on(now, event, core, &mut orders);
-        let late = running.plan.take_late();
+        let answer = running.plan.handle(now, event, core, &mut orders);
+        let late = running.plan.take_late_upstreams();
         for order in orders {
             self.send(now, number, &mut running, &order);
         }
@@ -298,7 +304,7 @@
         if let Some(answer) = answer {
             return self.answered(now, &running, &answer);
         }
-        running.wake = running.plan.wake(now);
+        running.wake = running.plan.next_wakeup(now);
         self.at(running.wake, Event::Wake(number));
         self.running.insert(number, running);
     }
@@ -328,17 +334,17 @@
         self.queries.insert(number, query);
     }
 
-    fn send(&mut self, now: Millis, number: usize, running: &mut Running, order: &Order) {
-        let Order { part, ticket, hop, why, seen, .. } = *order;
+    fn send(&mut self, now: Millis, number: usize, running: &mut Running, order: &SendOrder) {
+        let SendOrder { part, ticket, hop, trigger, seen, .. } = *order;
         let vm = running.query.vm;
         let Some(upstream) = self.index(vm, ticket.upstream) else { return };
         let region = upstream % REGIONS;
         let way = self.world.way(running.query.region, region);
         running.sends += 1;
-        self.tally.send(&running.query, why, region);
+        self.tally.send(&running.query, trigger, region);
         let host = (hop == Hop::Peer).then(|| self.host(now + way, upstream, order));
-        let (at, sign, ended) = match host {
-            Some(None) => (now + way, Sign::Busy, Ended::Busy),
+        let (at, outcome, result) = match host {
+            Some(None) => (now + way, SendOutcome::PeerRefused, SendResult::PeerRefused),
             _ => {
                 let fate = self.fate(now + way, upstream, (number, part), running);
                 self.outcome(now + way, fate, running, (part, upstream))
@@ -347,14 +353,14 @@
         let hosted = host.flatten();
         let (from, print) = (hosted.map_or(vm, |(vm, _)| vm), running.query.print());
         // A new connection finds out that the upstream is there, and only its reply was lost.
-        let looks = sign == Sign::Broken && self.policy.quarantine;
+        let looks = outcome == SendOutcome::Broken && self.policy.quarantine;
         let look = self.world.way(self.vms[from].region, region).scale(2.0);
         let at = if looks { at + look } else { at };
-        let load = told(&ended);
+        let load = told(&result);
         let hosted =
-            hosted.map(|(vm, ticket)| self.at(at, Event::Hosted { vm, ticket, sign, load }));
+            hosted.map(|(vm, ticket)| self.at(at, Event::Hosted { vm, ticket, outcome, load }));
         let ended =
-            self.at(at + way, Event::Ended { vm, query: number, part, ticket, sign, ended });
+            self.at(at + way, Event::Ended { vm, query: number, part, ticket, outcome, result });
         let arrives = now + way;
         self.hold(upstream, Flight { ended, hosted, arrives, from, print, seen });
     }
@@ -384,7 +390,7 @@
     }
 
     /// A VM beside the upstream counts a send for another, unless it doubts the upstream.
-    fn host(&mut self, at: Millis, upstream: usize, order: &Order) -> Option<(usize, Ticket)> {
+    fn host(&mut self, at: Millis, upstream: usize, order: &SendOrder) -> Option<(usize, Ticket)> {
         let region = upstream % REGIONS;
         let near: Vec<usize> =
             (0..self.size.vms).filter(|v| self.vms[*v].region == region).collect();
@@ -394,7 +400,7 @@
         let request = hosting::Request {
             upstream: &id,
             started: 0,
-            insist: order.insist,
+            fallback: order.fallback,
             lent: order.lent,
             route: None,
         };
@@ -409,37 +415,38 @@
         fate: Fate,
         running: &Running,
         (part, upstream): (usize, usize),
-    ) -> (Millis, Sign, Ended) {
+    ) -> (Millis, SendOutcome, SendResult) {
         let deadline = running.plan.deadline().max(at);
         match fate {
             Fate::Done(end) if end <= deadline => {
-                let seal = HeaderValue::from_str(&format!("{part}.{}", running.query.seed)).ok();
+                let signature =
+                    HeaderValue::from_str(&format!("{part}.{}", running.query.seed)).ok();
                 let (status, headers, body) = (StatusCode::OK, HeaderMap::new(), Bytes::new());
                 let draw = running.query.draw(part, running.sends, upstream + NOISE);
                 let load = Some(self.world.upstreams[upstream].load(end, draw));
-                let response = Response { status, headers, seal, load, body };
-                (end, Sign::Reply, Ended::Answered(Box::new(response)))
+                let response = Response { status, headers, signature, load, body };
+                (end, SendOutcome::Reply, SendResult::Answered(Box::new(response)))
             }
-            Fate::Lost(end) if end <= deadline => (end, Sign::Broken, Ended::Broken),
-            Fate::Shed => (at, Sign::Shed, Ended::Declined),
-            Fate::Refused => (at, Sign::Unreachable, Ended::Unsent),
+            Fate::Lost(end) if end <= deadline => (end, SendOutcome::Broken, SendResult::Broken),
+            Fate::Shed => (at, SendOutcome::Shed, SendResult::Declined),
+            Fate::Refused => (at, SendOutcome::Unreachable, SendResult::NotConnected),
             // Its upstream's end makes it break before.
             Fate::Ends(_) | Fate::Done(_) | Fate::Lost(_) | Fate::Silent => {
-                (deadline, Sign::Silent, Ended::Silent)
+                (deadline, SendOutcome::TimedOut, SendResult::TimedOut)
             }
         }
     }
 
     fn hear_load(&mut self, now: Millis, vm: usize, ticket: Ticket, load: Option<Load>) {
         if let Some(load) = load {
-            self.vms[vm].core.fleet.loaded(now, ticket.upstream, load);
+            self.vms[vm].core.fleet.record_load(now, ticket.upstream, load);
         }
     }
 
     /// A send ended, whether or not its query still waits.
-    fn close(&mut self, now: Millis, vm: usize, ticket: Ticket, sign: Sign) {
-        self.vms[vm].core.fleet.end(now, ticket, sign);
-        if sign == Sign::Reply {
+    fn close(&mut self, now: Millis, vm: usize, ticket: Ticket, outcome: SendOutcome) {
+        self.vms[vm].core.fleet.record_outcome(now, ticket, outcome);
+        if outcome == SendOutcome::Reply {
             self.tell(now, vm, &[ticket.upstream]);
         }
     }
@@ -466,16 +473,16 @@
     /// Tells the VMs of the region of late and slow upstreams, at once.
     fn tell(&mut self, now: Millis, vm: usize, keys: &[Key]) {
         let region = self.vms[vm].region;
-        let mut words: SmallVec<[_; 2]> = SmallVec::new();
+        let mut reports: SmallVec<[_; 2]> = SmallVec::new();
         for key in keys {
-            if let Some((entry, word)) = self.vms[vm].core.fleet.tell(now, *key) {
-                words.push((entry.id.clone(), word));
+            if let Some((entry, report)) = self.vms[vm].core.fleet.take_report(now, *key) {
+                reports.push((entry.id.clone(), report));
             }
         }
-        for (id, word) in words {
+        for (id, report) in reports {
             let others = self.vms.iter_mut().enumerate();
             let others = others.filter(|(other, v)| *other != vm && v.region == region);
-            others.for_each(|(_, v)| v.core.fleet.told(now, &id, 0, word));
+            others.for_each(|(_, v)| v.core.fleet.apply_report(now, &id, 0, report));
         }
     }
 }
--- a/crates/tgw-bench/src/overload/vms.rs
+++ b/crates/tgw-bench/src/overload/vms.rs
@@ -6,7 +6,7 @@
 use tgw_clock::Millis;
 use tgw_forward::{
     Core, Policy,
-    core::{Budget, Vms, Way},
+    core::{Budget, SendMode, Vms},
     fleet::Place,
     upstream::Entry,
 };
@@ -91,9 +91,9 @@
         (0..REGIONS).for_each(|r| enter(&mut core, Millis::ZERO, upstream(shard, r), 0));
     }
     core.configure(&config);
-    core.set_vms(Vms { all: size.vms as u32, near: (size.vms / REGIONS) as u32 });
+    core.set_vms(Vms { all: size.vms as u32, in_region: (size.vms / REGIONS) as u32 });
     let elsewhere = (0..REGIONS).filter(|r| *r != region).map(|r| format!("r{r}"));
-    core.fleet.set_manned(elsewhere.collect());
+    core.fleet.set_peer_regions(elsewhere.collect());
     (0..SHARDS).for_each(|shard| connect(&mut core, upstream(shard, region), 0));
     Vm { core, region }
 }
@@ -120,8 +120,8 @@
 
 /// A VM makes the connections that it may to an upstream of its region.
 pub(super) fn connect(core: &mut Core, upstream: usize, life: u32) {
-    let most = core.most(&format!("s{}", upstream / REGIONS), Way::Peers).near;
+    let most = core.send_limits(&format!("s{}", upstream / REGIONS), SendMode::Peers).in_region;
     if let Some(key) = core.fleet.key(&name(upstream, life)) {
-        (0..most).for_each(|_| core.fleet.opened(key));
+        (0..most).for_each(|_| core.fleet.connection_opened(key));
     }
 }
--- a/crates/tgw-bench/src/warmup/setup.rs
+++ b/crates/tgw-bench/src/warmup/setup.rs
@@ -1,6 +1,6 @@
 use serde::Serialize;
 use tgw_clock::Millis;
-use tgw_forward::warmup::Excess;
+use tgw_forward::warmup::Headroom;
 
 /// What goes wrong with some of the VMs.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
@@ -36,7 +36,7 @@
     /// Requests a second that the upstream bears while it is cold.
     pub rate: f64,
     /// What operators allow beyond that.
-    pub excess: Excess,
+    pub excess: Headroom,
     /// VMs that hold the right to send at a time.
     pub holders: usize,
     /// Requests for it, as many times what it bears.
@@ -48,7 +48,7 @@
 }
 
 /// Operators' allowance on the users' site.
-const EXCESS: Excess = Excess { factor: 1.5, constant: 5.0 };
+const EXCESS: Headroom = Headroom { factor: 1.5, constant: 5.0 };
 /// When troubles begin and end, in ms.
 const FROM: Millis = Millis::new(6_000);
 const TO: Millis = Millis::new(11_000);
--- a/crates/tgw-bench/src/warmup/vm.rs
+++ b/crates/tgw-bench/src/warmup/vm.rs
@@ -10,7 +10,7 @@
     core::{Budget, Vms},
     fleet,
     upstream::Entry,
-    warmup::{REMEMBERED, Roster, Seat},
+    warmup::{Candidate, Candidates, DEAD_VM_LEASE_RETENTION_MS},
 };
 use tgw_member::{Member, Options};
 use tgw_owner::State;
@@ -74,14 +74,14 @@
         let place = fleet::Place { domain: domain(at as u8), regions: regions.collect() };
         let policy = Policy { warm_holders: setup.holders as f64, ..Policy::default() };
         let mut core = Core::new(place, Budget::default(), policy);
-        core.set_excess(setup.excess);
+        core.set_headroom(setup.excess);
         let warmup = Warmup { span: FOREVER, rate: setup.rate };
         let mut config = Config::default();
         config.services.insert(SERVICE.into(), Service { connections: CONNECTIONS, warmup });
         core.configure(&config);
         core.fleet.put(now, entry());
         let near = setup.vms.div_ceil(REGIONS) as u32;
-        core.set_vms(Vms { all: setup.vms as u32, near });
+        core.set_vms(Vms { all: setup.vms as u32, in_region: near });
         let member = Member::new(options);
         Self { member, core, region, began: now, number, frozen_until: Millis::ZERO, ended: false }
     }
@@ -92,16 +92,17 @@
             return;
         }
         let directory = self.member.directory();
-        let mut domains: BTreeMap<Rc<str>, Vec<Seat>> = BTreeMap::new();
+        let mut domains: BTreeMap<Rc<str>, Vec<Candidate>> = BTreeMap::new();
         for (vm, member) in &directory.members {
             if member.state != State::Leaving {
-                let dead_until = self.member.dead_since(*vm).map(|at| at + REMEMBERED);
-                let seat = Seat { vm: vm.0, addr: member.addr, dead_until };
-                domains.entry(domain(member.place.domain.0).into()).or_default().push(seat);
+                let dead_until =
+                    self.member.dead_since(*vm).map(|at| at + DEAD_VM_LEASE_RETENTION_MS);
+                let candidate = Candidate { vm: vm.0, addr: member.addr, dead_until };
+                domains.entry(domain(member.place.domain.0).into()).or_default().push(candidate);
             }
         }
         let own = Id::named(&format!("vm-{}", self.number)).0;
-        self.core.fleet.set_roster(Roster::new(own, domains));
+        self.core.fleet.set_candidates(Candidates::new(own, domains));
     }
 }
 
--- a/crates/tgw-bench/src/warmup/world.rs
+++ b/crates/tgw-bench/src/warmup/world.rs
@@ -11,10 +11,10 @@
 use tgw_clock::Millis;
 use tgw_forward::{
     Scope,
-    core::Way,
+    core::SendMode,
     fleet::{Hop, Ticket},
     hosting::Request,
-    upstream::Sign,
+    upstream::SendOutcome,
 };
 use tgw_member::{Action, Event, Packet, Record};
 
@@ -129,14 +129,16 @@
                 self.vms[vm].settle(self.now);
             }
             Due::Packet { to, from, packet } => {
-                self.vms[to].core.fleet.heard(self.now);
+                self.vms[to].core.fleet.record_contact(self.now);
                 self.member(to, Event::Packet(from, packet));
             }
             Due::Records { to, records } => self.member(to, Event::Records(records)),
             Due::Arrive => self.arrive(),
             Due::Host { to } => self.host(to),
             Due::Write { vm, ticket } => self.write(vm, ticket),
-            Due::End { vm, ticket } => self.vms[vm].core.fleet.end(self.now, ticket, Sign::Reply),
+            Due::End { vm, ticket } => {
+                self.vms[vm].core.fleet.record_outcome(self.now, ticket, SendOutcome::Reply);
+            }
             Due::Begin(number) => self.begin(number),
             Due::Over(number) => self.over(number),
         }
@@ -189,11 +191,11 @@
         if seat.ended || seat.frozen_until > now {
             return;
         }
-        let most = seat.core.most(SERVICE, Way::Peers);
+        let most = seat.core.send_limits(SERVICE, SendMode::Peers);
         let choice = seat.core.fleet.pick(now, SERVICE, most, &[], Scope::default());
         let Some(choice) = choice else { return };
-        let through = seat.core.fleet.through(now, choice.key).map(|seat| seat.addr);
-        let ticket = seat.core.fleet.send(now, choice.key);
+        let through = seat.core.fleet.lease_holder(now, choice.key).map(|candidate| candidate.addr);
+        let ticket = seat.core.fleet.record_send(now, choice.key);
         match (choice.hop, through) {
             (Hop::Direct, _) => self.connect(vm, ticket),
             (Hop::Peer, Some(addr)) => {
@@ -203,13 +205,15 @@
                 // As long as its answer takes, or a lost packet.
                 self.at(now + FAR + FAR + WORK + CONNECT, Due::End { vm, ticket });
             }
-            (Hop::Peer, None) => self.vms[vm].core.fleet.end(now, ticket, Sign::Busy),
+            (Hop::Peer, None) => {
+                self.vms[vm].core.fleet.record_outcome(now, ticket, SendOutcome::PeerRefused);
+            }
         }
     }
 
     fn host(&mut self, vm: usize) {
         let request =
-            Request { upstream: UPSTREAM, started: 0, insist: false, lent: false, route: None };
+            Request { upstream: UPSTREAM, started: 0, fallback: false, lent: false, route: None };
         if let Ok(ticket) = self.vms[vm].core.host(self.now, request) {
             self.connect(vm, ticket);
         }
@@ -222,8 +226,8 @@
 
     fn write(&mut self, vm: usize, ticket: Ticket) {
         let fleet = &mut self.vms[vm].core.fleet;
-        if !fleet.write(self.now, ticket) {
-            return fleet.end(self.now, ticket, Sign::Busy);
+        if !fleet.authorize_write(self.now, ticket) {
+            return fleet.record_outcome(self.now, ticket, SendOutcome::PeerRefused);
         }
         self.written.push(self.now);
         self.at(self.now + WORK, Due::End { vm, ticket });
--- a/crates/tgw-forward/src/answer.rs
+++ b/crates/tgw-forward/src/answer.rs
@@ -1,6 +1,6 @@
 use crate::{
     Core, Plan, Scope,
-    merge::{self, Cut},
+    merge::{self, PartLimits},
     message::{Answer, Cause},
     part::{Part, State},
 };
@@ -69,15 +69,15 @@
     fn merge_parts(&self, limit: usize, missing: usize) -> Answer {
         let body = merge::greatest(self.received_parts().map(|(_, body)| body), limit).into();
         let signatures = self.received_parts().map(|(signature, _)| signature.clone()).collect();
-        Answer::Merged { seals: signatures, missing, body }
+        Answer::Merged { signatures, missing, body }
     }
 
     /// Limits on what the answer can use of a part requested through another VM. Traffic between
     /// regions is the most expensive, and most of these parts are requested late, when few of their
     /// records can still enter the answer.
-    pub(crate) fn part_limits(&self) -> Option<Cut> {
+    pub(crate) fn part_limits(&self) -> Option<PartLimits> {
         let Target::Shards(shards) = &self.route.target else { return None };
-        Some(Cut::for_answer(self.received_parts().map(|(_, body)| body), shards.limit))
+        Some(PartLimits::for_answer(self.received_parts().map(|(_, body)| body), shards.limit))
     }
 
     fn failure_answer(&self, now: Millis, core: &Core) -> Answer {
--- a/crates/tgw-forward/src/catalog.rs
+++ b/crates/tgw-forward/src/catalog.rs
@@ -8,7 +8,7 @@
 
 /// Time in ms for which missing entries are kept once the store is back: live upstreams rewrite
 /// theirs within about two seconds, and the update may reach this VM half a second later.
-pub const GRACE: Millis = Millis::new(2_500);
+pub const MISSING_ENTRY_RETENTION_MS: Millis = Millis::new(2_500);
 /// Heartbeat interval of upstreams in ms where the configuration gives none.
 const DEFAULT_HEARTBEAT_INTERVAL_MS: Millis = Millis::new(1_000);
 /// Heartbeat intervals that the store must have been down for before the entry of a live upstream
@@ -34,13 +34,13 @@
 
     /// Whether live upstreams have had time to rewrite the entries that lapsed in the outage.
     fn is_past(self, now: Millis) -> bool {
-        now - self.until > GRACE
+        now - self.until > MISSING_ENTRY_RETENTION_MS
     }
 }
 
-/// An upstream that is kept although its entry is missing.
+/// The period for which an upstream is kept although its entry is missing.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
-pub struct Doubt {
+pub struct Retention {
     /// When its entry was found missing.
     pub since: Millis,
     /// When the upstream is removed unless the entry is back.
@@ -52,18 +52,18 @@
 pub struct Change {
     /// The upstream's identity.
     pub id: Rc<str>,
-    /// What changed.
-    pub what: What,
+    /// What happened to it.
+    pub transition: Transition,
     /// The period for which the upstream is or was kept.
-    pub doubt: Doubt,
+    pub retention: Retention,
 }
 
 /// What happened to an upstream whose entry is missing.
 #[derive(Copy, Clone, Debug, Display, PartialEq, Eq)]
-pub enum What {
+pub enum Transition {
     /// It is kept for a while: the entry may have lapsed during an outage of the store.
     #[display("doubted")]
-    Doubted,
+    Retained,
     /// Its entry was written again.
     #[display("back")]
     Back,
@@ -91,7 +91,7 @@
     last_answer: Millis,
     /// The longest outage since this VM last read the store, up to the last call that failed in it.
     outage: Option<Outage>,
-    suspected: HashMap<Rc<str>, Doubt>,
+    retained: HashMap<Rc<str>, Retention>,
     changes: Vec<Change>,
 }
 
@@ -111,14 +111,14 @@
                 .scale(MIN_OUTAGE_HEARTBEATS),
             last_answer: Millis::ZERO,
             outage: None,
-            suspected: HashMap::new(),
+            retained: HashMap::new(),
             changes: Vec::new(),
         }
     }
 
     /// Records that a call to the store failed, made by this VM or by one whose state it takes
     /// over.
-    pub fn lost(&mut self, now: Millis) {
+    pub fn record_store_failure(&mut self, now: Millis) {
         let outage = Outage { since: self.last_answer, until: now };
         let longer = |known: Outage| outage.duration() >= known.duration() || known.is_past(now);
         if self.outage.is_none_or(longer) {
@@ -127,20 +127,20 @@
     }
 
     /// Records that the store answered this VM.
-    pub fn answered(&mut self, now: Millis) {
+    pub fn record_store_answer(&mut self, now: Millis) {
         self.outage = None;
         self.last_answer = now;
     }
 
     /// Records that the store answered another call of this VM, or a call of another VM that
     /// reported it.
-    pub fn heard(&mut self, now: Millis) {
+    pub fn record_store_alive(&mut self, now: Millis) {
         self.last_answer = now;
     }
 
     /// Excludes a pause of this VM from the outage, as the store was not the reason for the lack of
     /// answers.
-    pub fn paused(&mut self, gap: Millis) {
+    pub fn exclude_pause(&mut self, gap: Millis) {
         self.last_answer += gap;
         if let Some(outage) = &mut self.outage {
             outage.since += gap;
@@ -149,7 +149,7 @@
 
     /// Applies a complete listing of the store; `unreadable` names entries that could not be
     /// parsed.
-    pub fn listed(
+    pub fn apply_list(
         &mut self,
         now: Millis,
         entries: Vec<Entry>,
@@ -157,22 +157,22 @@
         fleet: &mut Fleet,
     ) {
         let down = self.store_was_down(now);
-        self.answered(now);
+        self.record_store_answer(now);
         for id in unreadable {
-            self.unreadable(id, fleet);
+            self.apply_unreadable(id, fleet);
         }
         let listed_ids: HashSet<Rc<str>> = entries.iter().map(|e| e.id.clone()).collect();
         let missing: Vec<Rc<str>> =
             fleet.ids().filter(|id| !listed_ids.contains(&**id)).cloned().collect();
         for id in missing {
             if down && !is_draining(&id, fleet) {
-                self.suspect(now, &id, GRACE);
-            } else if !self.suspected.contains_key(&id) {
+                self.retain(now, &id, MISSING_ENTRY_RETENTION_MS);
+            } else if !self.retained.contains_key(&id) {
                 fleet.remove(&id);
             }
         }
         for entry in entries {
-            self.changed(now, entry, fleet);
+            self.apply_write(now, entry, fleet);
         }
     }
 
@@ -186,57 +186,57 @@
     }
 
     /// Applies one written entry.
-    pub fn changed(&mut self, now: Millis, entry: Entry, fleet: &mut Fleet) {
-        self.resolve(&entry.id, What::Back);
+    pub fn apply_write(&mut self, now: Millis, entry: Entry, fleet: &mut Fleet) {
+        self.resolve(&entry.id, Transition::Back);
         fleet.put(now, entry);
     }
 
     /// Applies the removal of one entry.
-    pub fn removed(&mut self, id: &Rc<str>, fleet: &mut Fleet) {
-        self.resolve(id, What::Removed);
+    pub fn apply_removal(&mut self, id: &Rc<str>, fleet: &mut Fleet) {
+        self.resolve(id, Transition::Removed);
         fleet.remove(id);
     }
 
     /// Removes the upstream of an entry that can no longer be parsed. The entry did not lapse, so
     /// the upstream is not kept.
-    pub fn unreadable(&mut self, id: &Rc<str>, fleet: &mut Fleet) {
-        self.resolve(id, What::Unreadable);
+    pub fn apply_unreadable(&mut self, id: &Rc<str>, fleet: &mut Fleet) {
+        self.resolve(id, Transition::Unreadable);
         fleet.remove(id);
     }
 
     /// Keeps an upstream whose entry is missing and may have lapsed for at most `left`, unless it
     /// was draining.
-    pub fn lapsed(&mut self, now: Millis, id: &Rc<str>, left: Millis, fleet: &mut Fleet) {
+    pub fn retain_lapsed(&mut self, now: Millis, id: &Rc<str>, left: Millis, fleet: &mut Fleet) {
         if is_draining(id, fleet) {
-            self.removed(id, fleet);
+            self.apply_removal(id, fleet);
         } else if fleet.key(id).is_some() {
-            self.suspect(now, id, left.min(GRACE));
+            self.retain(now, id, left.min(MISSING_ENTRY_RETENTION_MS));
         }
     }
 
-    fn suspect(&mut self, now: Millis, id: &Rc<str>, left: Millis) {
-        if !self.suspected.contains_key(id) {
-            let suspicion = Doubt { since: now, until: now + left };
-            self.suspected.insert(id.clone(), suspicion);
-            self.record_change(id, What::Doubted, suspicion);
+    fn retain(&mut self, now: Millis, id: &Rc<str>, left: Millis) {
+        if !self.retained.contains_key(id) {
+            let retention = Retention { since: now, until: now + left };
+            self.retained.insert(id.clone(), retention);
+            self.record_change(id, Transition::Retained, retention);
         }
     }
 
-    fn resolve(&mut self, id: &Rc<str>, what: What) {
-        if let Some(suspicion) = self.suspected.remove(id) {
-            self.record_change(id, what, suspicion);
+    fn resolve(&mut self, id: &Rc<str>, transition: Transition) {
+        if let Some(retention) = self.retained.remove(id) {
+            self.record_change(id, transition, retention);
         }
     }
 
-    fn record_change(&mut self, id: &Rc<str>, what: What, suspicion: Doubt) {
+    fn record_change(&mut self, id: &Rc<str>, transition: Transition, retention: Retention) {
         if self.changes.len() < MAX_LOGGED_CHANGES {
-            self.changes.push(Change { id: id.clone(), what, doubt: suspicion });
+            self.changes.push(Change { id: id.clone(), transition, retention });
         }
     }
 
     /// The period for which an upstream is kept although its entry is missing.
-    pub fn doubted(&self, id: &str) -> Option<Doubt> {
-        self.suspected.get(id).copied()
+    pub fn retention(&self, id: &str) -> Option<Retention> {
+        self.retained.get(id).copied()
     }
 
     /// Takes the changes to upstreams with missing entries since the last call.
@@ -245,17 +245,17 @@
     }
 
     /// The upstreams that are kept although their entries are missing.
-    pub fn doubts(&self) -> impl Iterator<Item = (&Rc<str>, Doubt)> {
-        self.suspected.iter().map(|(id, suspicion)| (id, *suspicion))
+    pub fn retentions(&self) -> impl Iterator<Item = (&Rc<str>, Retention)> {
+        self.retained.iter().map(|(id, retention)| (id, *retention))
     }
 
     /// Removes the upstreams whose entries were not written again in time, and returns their
     /// identities.
     pub fn tick(&mut self, now: Millis, fleet: &mut Fleet) -> Vec<Rc<str>> {
-        let due = self.suspected.iter().filter(|(_, suspicion)| now >= suspicion.until);
+        let due = self.retained.iter().filter(|(_, retention)| now >= retention.until);
         let expired: Vec<Rc<str>> = due.map(|(id, _)| id.clone()).collect();
         for id in &expired {
-            self.resolve(id, What::GivenUp);
+            self.resolve(id, Transition::GivenUp);
             fleet.remove(id);
         }
         expired
--- a/crates/tgw-forward/src/cold.rs
+++ b/crates/tgw-forward/src/cold.rs
@@ -6,7 +6,7 @@
     fleet::{Hop, Key, Ticket},
     message::Reason,
     upstream::Distance,
-    warmup::{Excess, LeaseTerms, Roster, Seat},
+    warmup::{Candidate, Candidates, Headroom, LeaseTerms},
 };
 use std::{
     collections::{BTreeSet, HashMap},
@@ -22,7 +22,7 @@
 /// Warm-up rate limits by service; only services that configure one.
 #[derive(Debug, Default)]
 pub(crate) struct ColdLimits {
-    headroom: Excess,
+    headroom: Headroom,
     services: HashMap<Rc<str>, Warmup>,
 }
 
@@ -38,18 +38,18 @@
         self.cold_limits.services = limited.map(|(name, s)| (name.clone(), s.warmup)).collect();
     }
 
-    pub(crate) fn set_headroom(&mut self, headroom: Excess) {
+    pub(crate) fn set_headroom(&mut self, headroom: Headroom) {
         self.cold_limits.headroom = headroom;
     }
 
     /// Sets the VMs that compete for leases to send to cold upstreams.
-    pub fn set_roster(&mut self, roster: Roster) {
-        self.roster.update(roster);
+    pub fn set_candidates(&mut self, candidates: Candidates) {
+        self.candidates.update(candidates);
     }
 
     /// Records contact with another VM.
-    pub fn heard(&mut self, now: Millis) {
-        self.roster.record_contact(now);
+    pub fn record_contact(&mut self, now: Millis) {
+        self.candidates.record_contact(now);
     }
 
     /// Marks the upstreams of these failure domains as possibly cold.
@@ -102,9 +102,9 @@
     /// This VM's share of a cold upstream's rate; `None` without a lease on it.
     fn own_lease(&self, now: Millis, upstream: &Upstream, terms: LeaseTerms) -> Option<LeaseTerms> {
         let (entry, place, holder_count) = (&upstream.entry, &self.place, self.holder_count(terms));
-        let holders = self.roster.holders(now, entry, place, holder_count);
-        let holds = holders.iter().any(|candidate| candidate.vm == self.roster.own_vm());
-        (holds && self.roster.has_quorum(now, entry, place)).then(|| terms.split(holder_count))
+        let holders = self.candidates.holders(now, entry, place, holder_count);
+        let holds = holders.iter().any(|candidate| candidate.vm == self.candidates.own_vm());
+        (holds && self.candidates.has_quorum(now, entry, place)).then(|| terms.split(holder_count))
     }
 
     /// The hop of one more send to a cold upstream, if it may be made: direct if this VM holds a
@@ -120,33 +120,37 @@
             let via_peer = limits.peer > 0 && self.remote_holder(now, upstream).is_some();
             return (via_peer && upstream.has_peer_room(limits.peer)).then_some(Hop::Peer);
         };
-        let limit = if upstream.distance == Distance::Far { limits.far } else { limits.near };
+        let limit = if upstream.distance == Distance::OtherRegion {
+            limits.other_regions
+        } else {
+            limits.in_region
+        };
         (upstream.allows_send(now, lease) && upstream.has_room(now, limit)).then_some(Hop::Direct)
     }
 
     /// The VM that holds a lease on an upstream, if it is another VM in the upstream's region: a
     /// request whose home is that region may not be sent through other regions.
-    fn remote_holder<'a>(&'a self, now: Millis, upstream: &Upstream) -> Option<&'a Seat> {
-        if !self.roster.has_vms_in_region(&upstream.entry.domain, &self.place) {
+    fn remote_holder<'a>(&'a self, now: Millis, upstream: &Upstream) -> Option<&'a Candidate> {
+        if !self.candidates.has_vms_in_region(&upstream.entry.domain, &self.place) {
             return None;
         }
         let terms = self.cold_limit(now, upstream)?;
         let holders =
-            self.roster.holders(now, &upstream.entry, &self.place, self.holder_count(terms));
+            self.candidates.holders(now, &upstream.entry, &self.place, self.holder_count(terms));
         let index =
             usize::try_from(self.next_send_number()).unwrap_or_default() % holders.len().max(1);
-        holders.get(index).copied().filter(|candidate| candidate.vm != self.roster.own_vm())
+        holders.get(index).copied().filter(|candidate| candidate.vm != self.candidates.own_vm())
     }
 
     /// The VM through which sends reach an upstream that may be cold; `None` if any VM may send
     /// there.
-    pub fn through(&self, now: Millis, key: Key) -> Option<&Seat> {
+    pub fn lease_holder(&self, now: Millis, key: Key) -> Option<&Candidate> {
         self.remote_holder(now, self.upstreams.get(&key)?)
     }
 
     /// Authorizes the write of a send's request. False if the upstream may be cold and this VM may
     /// not send to it now.
-    pub fn write(&mut self, now: Millis, ticket: Ticket) -> bool {
+    pub fn authorize_write(&mut self, now: Millis, ticket: Ticket) -> bool {
         let Some(upstream) = self.upstreams.get(&ticket.upstream) else { return false };
         let lease = match self.cold_limit(now, upstream) {
             Some(terms) => match self.own_lease(now, upstream, terms) {
--- a/crates/tgw-forward/src/core.rs
+++ b/crates/tgw-forward/src/core.rs
@@ -1,9 +1,9 @@
 use crate::{
     Fleet, Margin, Policy, Window,
     fleet::{Key, Place},
-    plan::{Requirement, Why},
+    plan::{Requirement, Trigger},
     upstream::Distance,
-    warmup::Excess,
+    warmup::Headroom,
 };
 use std::{collections::HashMap, rc::Rc};
 use tgw_clock::Millis;
@@ -38,16 +38,16 @@
     /// In all regions.
     pub all: u32,
     /// In this VM's region.
-    pub near: u32,
+    pub in_region: u32,
 }
 
 /// Limits on concurrent sends from this VM to one upstream.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
 pub struct SendLimits {
     /// For an upstream in this VM's region.
-    pub near: u32,
+    pub in_region: u32,
     /// For an upstream in another region.
-    pub far: u32,
+    pub other_regions: u32,
     /// For an upstream in another region, through VMs there; zero if sends go direct.
     pub peer: u32,
 }
@@ -59,7 +59,7 @@
 /// 90 VMs, by their log lines). After a power failure, direct connections also leave dead
 /// connections of all VMs rather than of one region at the upstream, which fill it.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum SendMode {
     /// On this VM's own connections.
     Direct,
     /// Through VMs in the upstream's region.
@@ -93,7 +93,7 @@
             fleet: Fleet::new(place, policy),
             budget,
             policy,
-            vms: Vms { all: ASSUMED_VMS, near: 1 },
+            vms: Vms { all: ASSUMED_VMS, in_region: 1 },
             ..Self::default()
         }
     }
@@ -121,14 +121,14 @@
     }
 
     /// Sets how far sends to cold upstreams may exceed the configured rate.
-    pub fn set_excess(&mut self, headroom: Excess) {
+    pub fn set_headroom(&mut self, headroom: Headroom) {
         self.fleet.set_headroom(headroom);
     }
 
     /// Sets the numbers of live VMs that share the connections and the budgets.
     pub fn set_vms(&mut self, vms: Vms) {
-        let near = vms.near.max(1);
-        self.vms = Vms { all: vms.all.max(near), near };
+        let in_region = vms.in_region.max(1);
+        self.vms = Vms { all: vms.all.max(in_region), in_region };
     }
 
     /// The policy in force.
@@ -143,16 +143,20 @@
 
     /// Limits on concurrent sends from this VM to one upstream of a service: its share of the
     /// connections that the upstream accepts from all VMs.
-    pub fn most(&self, service: &str, mode: Way) -> SendLimits {
-        let (near, far) = self.connection_shares(service);
-        let direct = SendLimits { near: near.max(1), far: far.max(1), peer: 0 };
+    pub fn send_limits(&self, service: &str, mode: SendMode) -> SendLimits {
+        let (in_region, other_regions) = self.connection_shares(service);
+        let direct = SendLimits {
+            in_region: in_region.max(1),
+            other_regions: other_regions.max(1),
+            peer: 0,
+        };
         match mode {
-            Way::Direct => direct,
-            Way::Peers if !self.policy.peers => direct,
+            SendMode::Direct => direct,
+            SendMode::Peers if !self.policy.peers => direct,
             // VMs of other regions make no connections here, so the VMs of the upstream's region
             // share all of them.
-            Way::Peers => SendLimits {
-                near: (self.connections_of(service) / self.vms.near).max(1),
+            SendMode::Peers => SendLimits {
+                in_region: (self.connections_of(service) / self.vms.in_region).max(1),
                 peer: self.policy.peer_most as u32,
                 ..direct
             },
@@ -165,10 +169,11 @@
     /// No VM is guaranteed a connection. Of 295 VMs sending to an upstream with 195 connections,
     /// the last of its service, each kept the one that it got: upstreams reset 784 connections in a
     /// day, and 129 with this limit.
-    pub fn keep(&self, key: Key) -> usize {
+    pub fn idle_connection_limit(&self, key: Key) -> usize {
         let Some(upstream) = self.fleet.get(key) else { return 0 };
-        let (near, far) = self.connection_shares(&upstream.entry.service);
-        let share = if upstream.distance == Distance::Far { far } else { near };
+        let (in_region, other_regions) = self.connection_shares(&upstream.entry.service);
+        let share =
+            if upstream.distance == Distance::OtherRegion { other_regions } else { in_region };
         if share == 0 { 0 } else { (share / 2).max(1) as usize }
     }
 
@@ -181,14 +186,14 @@
     /// another one.
     fn connection_shares(&self, service: &str) -> (u32, u32) {
         let connections = self.connections_of(service);
-        let Vms { all, near } = self.vms;
+        let Vms { all, in_region } = self.vms;
         // All VMs get the same share, and the remainder from rounding goes to the upstream's
         // region. Reserving a quarter for that region from the start was worse, as it is then
         // missing where a pause diverts requests (worth 0.637 against 0.590 on a large-scale run of
         // 7 VMs, mean of 8 runs).
-        let far = connections / all;
-        let rest = connections.saturating_sub(far * (all - near));
-        (rest / near, far)
+        let other_regions = connections / all;
+        let rest = connections.saturating_sub(other_regions * (all - in_region));
+        (rest / in_region, other_regions)
     }
 
     /// Counts a request for a service towards its budget.
@@ -201,7 +206,7 @@
         &mut self,
         now: Millis,
         service: &Rc<str>,
-        why: Why,
+        trigger: Trigger,
         requirement: Requirement,
     ) -> bool {
         let Policy { split, judged, hedge_budget, hedge_spread, .. } = self.policy;
@@ -216,7 +221,7 @@
             let pressure = window.pressure(now, allowed) * self.policy.pressure_gain;
             limit *= 1.0 - pressure.min(1.0) * (1.0 - self.policy.raise_share);
         }
-        if why == Why::Hedge && split {
+        if trigger == Trigger::Hedge && split {
             limit = limit.min(allowed * hedge_budget + allowed.sqrt() * hedge_spread);
         }
         window.spend(now, limit)
@@ -227,7 +232,7 @@
     /// holds even if some die. While this VM's own answers fail for lack of extra sends, it lends
     /// little.
     pub fn lend(&mut self, now: Millis, service: &Rc<str>) -> bool {
-        self.spend(now, service, Why::Retry, Requirement::Optional)
+        self.spend(now, service, Trigger::Retry, Requirement::Optional)
     }
 
     /// Returns one extra send to the budget because it reached no upstream.
@@ -248,7 +253,7 @@
         match distance {
             Distance::Domain => &mut hedges[0],
             Distance::Region => &mut hedges[1],
-            Distance::Far => &mut hedges[2],
+            Distance::OtherRegion => &mut hedges[2],
         }
     }
 
--- a/crates/tgw-forward/src/fleet.rs
+++ b/crates/tgw-forward/src/fleet.rs
@@ -4,8 +4,8 @@
     Policy, Scope,
     cold::ColdLimits,
     core::SendLimits,
-    upstream::{Distance, Entry, Sign, Upstream, Word},
-    warmup::Roster,
+    upstream::{Distance, Entry, PeerReport, SendOutcome, Upstream},
+    warmup::Candidates,
 };
 use derive_more::Display;
 use smallvec::SmallVec;
@@ -59,7 +59,7 @@
 
 impl Place {
     /// The failure domain with a number: numbers follow the order of the names.
-    pub fn numbered(&self, number: u8) -> Option<&str> {
+    pub fn domain_by_number(&self, number: u8) -> Option<&str> {
         self.regions.keys().nth(usize::from(number)).map(String::as_str)
     }
 
@@ -74,7 +74,7 @@
         }
         match (self.regions.get(domain), self.regions.get(&self.domain)) {
             (Some(theirs), Some(ours)) if theirs == ours => Distance::Region,
-            _ => Distance::Far,
+            _ => Distance::OtherRegion,
         }
     }
 }
@@ -122,7 +122,7 @@
     /// Failure domains whose upstreams must not get new requests.
     evacuated: BTreeSet<Rc<str>>,
     pub(crate) cold_limits: ColdLimits,
-    pub(crate) roster: Roster,
+    pub(crate) candidates: Candidates,
     next_key: u64,
     next_send_number: u64,
 }
@@ -134,7 +134,7 @@
     }
 
     /// Sets the regions with at least one other VM.
-    pub fn set_manned(&mut self, regions: BTreeSet<String>) {
+    pub fn set_peer_regions(&mut self, regions: BTreeSet<String>) {
         self.peer_regions = regions;
     }
 
@@ -265,17 +265,17 @@
     fn warm_hop(&self, now: Millis, upstream: &Upstream, limits: SendLimits) -> Option<Hop> {
         let region = self.place.region(&upstream.entry.domain);
         let has_peer = region.is_some_and(|r| self.peer_regions.contains(r));
-        let via_peer = limits.peer > 0 && has_peer && upstream.distance == Distance::Far;
+        let via_peer = limits.peer > 0 && has_peer && upstream.distance == Distance::OtherRegion;
         let has_room = match (via_peer, upstream.distance) {
             (true, _) => upstream.has_peer_room(limits.peer),
-            (false, Distance::Far) => upstream.has_room(now, limits.far),
-            (false, _) => upstream.has_room(now, limits.near),
+            (false, Distance::OtherRegion) => upstream.has_room(now, limits.other_regions),
+            (false, _) => upstream.has_room(now, limits.in_region),
         };
         has_room.then_some(if via_peer { Hop::Peer } else { Hop::Direct })
     }
 
     /// Records a send and returns its handle.
-    pub fn send(&mut self, now: Millis, key: Key) -> Ticket {
+    pub fn record_send(&mut self, now: Millis, key: Key) -> Ticket {
         let number = self.next_send_number;
         self.next_send_number += 1;
         if let Some(upstream) = self.upstreams.get_mut(&key) {
@@ -285,7 +285,7 @@
     }
 
     /// The report about an upstream for other VMs, with its entry, if one is due.
-    pub fn tell(&mut self, now: Millis, key: Key) -> Option<(&Entry, Word)> {
+    pub fn take_report(&mut self, now: Millis, key: Key) -> Option<(&Entry, PeerReport)> {
         let upstream = self.upstreams.get_mut(&key)?;
         let report = upstream.take_report(now)?;
         Some((&upstream.entry, report))
@@ -293,7 +293,7 @@
 
     /// Applies a report of another VM in the region about the incarnation of an upstream that
     /// started at `started`.
-    pub fn told(&mut self, now: Millis, id: &str, started: u64, report: Word) {
+    pub fn apply_report(&mut self, now: Millis, id: &str, started: u64, report: PeerReport) {
         let upstream = self.keys_by_id.get(id).and_then(|k| self.upstreams.get_mut(k));
         if let Some(upstream) = upstream.filter(|u| u.entry.started == started) {
             upstream.apply_report(now, report);
@@ -301,31 +301,31 @@
     }
 
     /// Records that an upstream's address refuses connections.
-    pub fn lost(&mut self, now: Millis, key: Key) {
+    pub fn mark_unreachable(&mut self, now: Millis, key: Key) {
         if let Some(upstream) = self.upstreams.get_mut(&key) {
             upstream.mark_unreachable(now);
         }
     }
 
     /// Counts a connection that was made.
-    pub fn opened(&mut self, key: Key) {
+    pub fn connection_opened(&mut self, key: Key) {
         if let Some(upstream) = self.upstreams.get_mut(&key) {
             upstream.connection_opened();
         }
     }
 
     /// Counts a connection that was closed.
-    pub fn closed(&mut self, key: Key) {
+    pub fn connection_closed(&mut self, key: Key) {
         if let Some(upstream) = self.upstreams.get_mut(&key) {
             upstream.connection_closed();
         }
     }
 
     /// Records the outcome of a send.
-    pub fn end(&mut self, now: Millis, ticket: Ticket, outcome: Sign) {
+    pub fn record_outcome(&mut self, now: Millis, ticket: Ticket, outcome: SendOutcome) {
         let Some(upstream) = self.upstreams.get_mut(&ticket.upstream) else { return };
         upstream.record_outcome(now, ticket.number, outcome);
-        if outcome == Sign::Reply && self.policy.levels {
+        if outcome == SendOutcome::Reply && self.policy.levels {
             let service = upstream.entry.service.clone();
             self.update_baseline(now, &service);
         }
--- a/crates/tgw-forward/src/hosting.rs
+++ b/crates/tgw-forward/src/hosting.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     Core,
-    core::{SendLimits, Way},
+    core::{SendLimits, SendMode},
     fleet::Ticket,
 };
 use tgw_clock::Millis;
@@ -16,7 +16,7 @@
     /// When the upstream's process started, in ms of Unix time.
     pub started: u64,
     /// Fallback send: to be made even if the upstream is suspected.
-    pub insist: bool,
+    pub fallback: bool,
     /// Whether the send is charged to this VM's budget.
     pub lent: bool,
     /// The request's route, if this VM knows it.
@@ -36,13 +36,13 @@
 impl Core {
     /// Records a send on behalf of another VM, if it may be made.
     pub fn host(&mut self, now: Millis, request: Request<'_>) -> Result<Ticket, Refusal> {
-        let Request { upstream, started, insist, lent, route } = request;
+        let Request { upstream, started, fallback, lent, route } = request;
         let key = self.fleet.key(upstream).ok_or(Refusal::Unknown)?;
         let known = self.fleet.get(key).ok_or(Refusal::Unknown)?;
         let service = known.entry.service.clone();
         // Sent on a connection of this VM, never through a third VM.
-        let limits = SendLimits { peer: 0, ..self.most(&service, Way::Peers) };
-        let suspected = !insist && known.is_suspected(now);
+        let limits = SendLimits { peer: 0, ..self.send_limits(&service, SendMode::Peers) };
+        let suspected = !fallback && known.is_suspected(now);
         // The upstream restarted, and one of the two VMs does not know it yet.
         let restarted = known.entry.started != started;
         let full = self.fleet.hop_for(now, known, limits).is_none();
@@ -52,6 +52,6 @@
         if lent && !self.lend(now, &service) {
             return Err(Refusal::Busy);
         }
-        Ok(self.fleet.send(now, key))
+        Ok(self.fleet.record_send(now, key))
     }
 }
--- a/crates/tgw-forward/src/load.rs
+++ b/crates/tgw-forward/src/load.rs
@@ -35,7 +35,7 @@
 
 impl Fleet {
     /// Records the load reported in a reply of an upstream.
-    pub fn loaded(&mut self, now: Millis, key: Key, load: Load) {
+    pub fn record_load(&mut self, now: Millis, key: Key, load: Load) {
         if let Some(upstream) = self.upstreams.get_mut(&key).filter(|_| load.is_plausible()) {
             upstream.record_load(now, load);
         }
--- a/crates/tgw-forward/src/margin.rs
+++ b/crates/tgw-forward/src/margin.rs
@@ -37,7 +37,7 @@
 
 impl Margin {
     /// Records that a request's timer fired `late` after it was due.
-    pub fn fired(&mut self, late: Millis) {
+    pub fn record_timer_delay(&mut self, late: Millis) {
         // Stochastic approximation of a quantile: the steps balance where `LATE_TIMERS_FACTOR` of
         // the timers fire later.
         let later = late.as_f64() > self.wakeup_delay_ms;
--- a/crates/tgw-forward/src/merge.rs
+++ b/crates/tgw-forward/src/merge.rs
@@ -20,7 +20,7 @@
 
 /// Limits on what an answer can use of a part.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq)]
-pub struct Cut {
+pub struct PartLimits {
     /// Maximum number of records in the answer.
     pub limit: usize,
     /// The least record that can still enter the answer, once received parts fill it and all of
@@ -28,7 +28,7 @@
     pub floor: Option<Record>,
 }
 
-impl Cut {
+impl PartLimits {
     /// The limits for an answer of `limit` records that is certain to include `parts`.
     pub fn for_answer<'a>(parts: impl Iterator<Item = &'a [u8]>, limit: usize) -> Self {
         let full = greatest(parts, limit);
--- a/crates/tgw-forward/src/message.rs
+++ b/crates/tgw-forward/src/message.rs
@@ -3,7 +3,7 @@
 use crate::{
     fleet::{Hop, Key, Ticket},
     load::Load,
-    merge::Cut,
+    merge::PartLimits,
 };
 use bytes::Bytes;
 use derive_more::Display;
@@ -19,7 +19,7 @@
     /// Its end-to-end headers.
     pub headers: HeaderMap,
     /// The upstream's signature, if the reply has one.
-    pub seal: Option<HeaderValue>,
+    pub signature: Option<HeaderValue>,
     /// The load that the upstream reported with it.
     pub load: Option<Load>,
     /// Its complete body.
@@ -28,28 +28,28 @@
 
 impl Response {
     /// Whether it is a success that the upstream signed.
-    pub fn good(&self) -> bool {
-        self.status.is_success() && self.seal.is_some()
+    pub fn is_signed_success(&self) -> bool {
+        self.status.is_success() && self.signature.is_some()
     }
 }
 
 /// How one send ended.
 #[derive(Debug)]
-pub enum Ended {
+pub enum SendResult {
     /// With a complete reply.
     Answered(Box<Response>),
     /// The upstream stated that it did not execute the request.
     Declined,
     /// No connection was made, so nothing was sent.
-    Unsent,
+    NotConnected,
     /// The peer VM did not send it, as it had no room or suspects the upstream.
-    Busy,
+    PeerRefused,
     /// The reply was truncated, corrupt or reset: the request may have been executed.
     Broken,
     /// The upstream's process terminated: the request may have been executed, and may be the cause.
-    Gone,
+    Terminated,
     /// No reply by the deadline: the request may have been executed.
-    Silent,
+    TimedOut,
 }
 
 /// An event for a plan.
@@ -58,21 +58,21 @@
     /// The request arrived.
     Start,
     /// A send of the plan ended.
-    Ended {
+    SendEnded {
         /// The part that was sent.
         part: usize,
         /// The upstream it was sent to.
         upstream: Key,
         /// How the send ended.
-        ended: Ended,
+        result: SendResult,
     },
-    /// The time returned by [`crate::Plan::wake`] has come.
+    /// The time returned by [`crate::Plan::next_wakeup`] has come.
     Tick,
 }
 
 /// Why a send is made.
 #[derive(Copy, Clone, Debug, Display, PartialEq, Eq)]
-pub enum Why {
+pub enum Trigger {
     /// It is the first of its part.
     #[display("first")]
     First,
@@ -95,24 +95,24 @@
 
 /// A send to be made.
 #[derive(Clone, Debug)]
-pub struct Order {
+pub struct SendOrder {
     /// The index of the part, from zero.
     pub part: usize,
     /// The upstream and the number of the send.
     pub ticket: Ticket,
     /// Why it is made.
-    pub why: Why,
+    pub trigger: Trigger,
     /// How it reaches the upstream.
     pub hop: Hop,
     /// Fallback send: no other upstream is left, so it is made even if the upstream is suspected.
-    pub insist: bool,
+    pub fallback: bool,
     /// Whether it is charged to the budget of the VM that makes it, as this VM's own is exhausted.
     pub lent: bool,
     /// The upstream of the part's previous send.
-    pub after: Option<Key>,
+    pub previous: Option<Key>,
     /// Limits on what the answer can use of the part; `None` where the reply is forwarded
     /// unchanged.
-    pub cut: Option<Cut>,
+    pub limits: Option<PartLimits>,
     /// Upstream terminations known for the request.
     pub seen: Seen,
 }
@@ -125,7 +125,7 @@
     /// The greatest records of the parts received.
     Merged {
         /// The signatures of these parts.
-        seals: Vec<HeaderValue>,
+        signatures: Vec<HeaderValue>,
         /// The number of parts not received.
         missing: usize,
         /// The records.
@@ -184,7 +184,7 @@
     /// The index of its part.
     pub part: usize,
     /// Why it was wanted.
-    pub why: Why,
+    pub trigger: Trigger,
     /// Why it was not made.
     pub reason: Reason,
 }
--- a/crates/tgw-forward/src/part.rs
+++ b/crates/tgw-forward/src/part.rs
@@ -1,8 +1,8 @@
 use crate::{
     Core,
-    core::{SendLimits, Way},
+    core::{SendLimits, SendMode},
     fleet::{Choice, Hop, Key},
-    message::{Reason, Requirement, Why, Withheld},
+    message::{Reason, Requirement, Trigger, Withheld},
 };
 use bytes::Bytes;
 use http::HeaderValue;
@@ -53,7 +53,7 @@
     /// When it is tried again, while no send is in flight for it.
     pub(crate) deferred_until: Option<Millis>,
     /// A send that is wanted, but has to wait until other sends of the request have ended.
-    pub(crate) delayed: Option<Why>,
+    pub(crate) delayed: Option<Trigger>,
     /// For each send, the upstream terminations known for the request when it was made.
     pub(crate) seen: SmallVec<[(Key, Seen); 2]>,
     /// The send that was withheld last, with its reason.
@@ -74,7 +74,7 @@
     // Parts are small and may be sent twice. At-most-once requests and replies forwarded unchanged
     // use this VM's own connections, as the answer of a peer can be lost.
     let sharded = matches!(route.target, Target::Shards(_));
-    core.most(service, if sharded { Way::Peers } else { Way::Direct })
+    core.send_limits(service, if sharded { SendMode::Peers } else { SendMode::Direct })
 }
 
 impl Part {
@@ -153,7 +153,7 @@
     pub(crate) fn choose_upstream(
         &self,
         now: Millis,
-        (why, requirement): (Why, Requirement),
+        (trigger, requirement): (Trigger, Requirement),
         route: &Route,
         core: &mut Core,
     ) -> Result<Placement, Reason> {
@@ -170,9 +170,10 @@
         let last_resort = || pick(&self.tried);
         let reason = || core.fleet.unavailable_reason(now, &self.service, core.scope(route));
         let choice = untried.or_else(last_resort).ok_or_else(reason)?;
-        let allowed = self.sends == 0 || core.spend(now, &self.service, why, requirement);
-        let lendable =
-            choice.hop == Hop::Peer && requirement == Requirement::Required && why == Why::Retry;
+        let allowed = self.sends == 0 || core.spend(now, &self.service, trigger, requirement);
+        let lendable = choice.hop == Hop::Peer
+            && requirement == Requirement::Required
+            && trigger == Trigger::Retry;
         match (allowed, lendable) {
             (true, _) => Ok(Placement { choice, fallback, lent: false }),
             (false, true) if core.policy().lends => Ok(Placement { choice, fallback, lent: true }),
--- a/crates/tgw-forward/src/plan.rs
+++ b/crates/tgw-forward/src/plan.rs
@@ -13,7 +13,7 @@
 use tgw_route::{Route, Safety, Target};
 
 pub use crate::message::{
-    Answer, Cause, Ended, Event, Order, Reason, Requirement, Response, Why, Withheld,
+    Answer, Cause, Event, Reason, Requirement, Response, SendOrder, SendResult, Trigger, Withheld,
 };
 
 /// Time in ms before the deadline at which the last answer leaves.
@@ -30,13 +30,13 @@
     /// The route of the request.
     pub route: Rc<Route>,
     /// The timeout that the caller gave, if any.
-    pub patience: Option<Millis>,
+    pub caller_timeout: Option<Millis>,
     /// Whether the caller opened a connection for the request.
-    pub opened: bool,
+    pub new_connection: bool,
     /// A number that differs between requests; spreads the retries of refused callers.
-    pub spread: u32,
+    pub retry_spread: u32,
     /// Equal for requests that differ only in identity and deadline.
-    pub print: Fingerprint,
+    pub fingerprint: Fingerprint,
 }
 
 /// Drives one request.
@@ -73,16 +73,16 @@
     /// Creates a plan for a request that arrived at `now`.
     pub fn new(now: Millis, options: &Options) -> Self {
         let route = options.route.clone();
-        let timeout = options.patience.unwrap_or(route.timeout).min(route.timeout);
+        let timeout = options.caller_timeout.unwrap_or(route.timeout).min(route.timeout);
         Self {
             started: now,
-            new_connection: options.opened,
+            new_connection: options.new_connection,
             answer_by: now + route.aim,
             deadline: now + (timeout - ANSWER_LEAD_MS),
-            retry_spread: options.spread,
+            retry_spread: options.retry_spread,
             route,
             parts: SmallVec::new(),
-            fingerprint: options.print,
+            fingerprint: options.fingerprint,
             rounds: 0,
             answered: false,
             trial: false,
@@ -117,7 +117,7 @@
     }
 
     /// Takes the upstreams whose sends became late since the last call.
-    pub fn take_late(&mut self) -> SmallVec<[Key; 2]> {
+    pub fn take_late_upstreams(&mut self) -> SmallVec<[Key; 2]> {
         std::mem::take(&mut self.late_upstreams)
     }
 
@@ -128,7 +128,7 @@
     }
 
     /// When [`Event::Tick`] is due.
-    pub fn wake(&self, now: Millis) -> Millis {
+    pub fn next_wakeup(&self, now: Millis) -> Millis {
         let waiting = || self.parts.iter().filter(|p| p.waiting());
         let deferred = waiting().filter_map(|p| p.deferred_until);
         let late = waiting().filter_map(|p| p.late_at);
@@ -139,20 +139,20 @@
 
     /// Handles one event: appends the sends to be made to `out`, and returns the answer once there
     /// is one.
-    pub fn on(
+    pub fn handle(
         &mut self,
         now: Millis,
         event: Event,
         core: &mut Core,
-        out: &mut Vec<Order>,
+        out: &mut Vec<SendOrder>,
     ) -> Option<Answer> {
         if self.finished {
             return None;
         }
         match event {
             Event::Start => self.start(now, core, out),
-            Event::Ended { part, upstream, ended } => {
-                self.handle_send_end(now, part, upstream, ended, core, out);
+            Event::SendEnded { part, upstream, result } => {
+                self.handle_send_end(now, part, upstream, result, core, out);
                 self.send_delayed(now, core, out);
             }
             Event::Tick => {
@@ -166,7 +166,7 @@
         answer
     }
 
-    fn start(&mut self, now: Millis, core: &mut Core, out: &mut Vec<Order>) {
+    fn start(&mut self, now: Millis, core: &mut Core, out: &mut Vec<SendOrder>) {
         let route = self.route.clone();
         let margin =
             core.margin.lead_time(self.new_connection).min(route.aim.scale(MAX_MARGIN_FACTOR));
@@ -193,7 +193,7 @@
             return;
         }
         for index in 0..self.parts.len() {
-            self.order_send(now, index, Why::First, core, out);
+            self.order_send(now, index, Trigger::First, core, out);
             self.give_up_or_defer(now, index, core);
         }
     }
@@ -213,17 +213,17 @@
         now: Millis,
         index: usize,
         upstream: Key,
-        ended: Ended,
+        result: SendResult,
         core: &mut Core,
-        out: &mut Vec<Order>,
+        out: &mut Vec<SendOrder>,
     ) {
         let idempotent = self.route.safety == Safety::Idempotent;
         let Some(part) = self.parts.get_mut(index) else { return };
         part.in_flight = part.in_flight.saturating_sub(1);
         let mut retry = idempotent;
         let seen = part.seen(upstream);
-        match ended {
-            Ended::Answered(response) => {
+        match result {
+            SendResult::Answered(response) => {
                 self.may_have_run = true;
                 self.record_answer(now, index, &response, core);
                 let Some(part) = self.parts.get_mut(index) else { return };
@@ -231,32 +231,32 @@
                     return;
                 }
             }
-            Ended::Declined => {
+            SendResult::Declined => {
                 if core.policy().declined_free {
                     part.record_declined(upstream);
                 }
                 retry = true;
             }
-            Ended::Unsent => {
+            SendResult::NotConnected => {
                 part.undo_send(upstream, core);
                 retry = true;
             }
-            Ended::Busy => {
+            SendResult::PeerRefused => {
                 part.undo_send(upstream, core);
                 part.ask_as_last_resort(upstream);
                 retry = true;
             }
-            Ended::Gone => {
+            SendResult::Terminated => {
                 self.may_have_run = true;
                 self.record_termination(seen);
             }
-            Ended::Broken | Ended::Silent => self.may_have_run = true,
+            SendResult::Broken | SendResult::TimedOut => self.may_have_run = true,
         }
         if self.parts[index].waiting() && retry && core.policy().retries {
             if self.is_limited(core) {
-                self.parts[index].delayed = Some(Why::Retry);
+                self.parts[index].delayed = Some(Trigger::Retry);
             } else {
-                self.order_send(now, index, Why::Retry, core, out);
+                self.order_send(now, index, Trigger::Retry, core, out);
             }
         }
         self.give_up_or_defer(now, index, core);
@@ -268,14 +268,14 @@
         if !sharded {
             // Another upstream may succeed where this one failed; a client error (4xx) would be the
             // same at any upstream.
-            let done = response.good() || response.status.is_client_error();
+            let done = response.is_signed_success() || response.status.is_client_error();
             self.failure = Some(response);
             if done {
                 self.parts[index].state = State::GivenUp;
             }
             return done;
         }
-        let Some(signature) = response.seal.filter(|_| response.status.is_success()) else {
+        let Some(signature) = response.signature.filter(|_| response.status.is_success()) else {
             return false;
         };
         let duplicate = self
--- a/crates/tgw-forward/src/quarantine.rs
+++ b/crates/tgw-forward/src/quarantine.rs
@@ -1,6 +1,6 @@
 use crate::{
     Core, Plan,
-    message::{Order, Reason, Response, Why},
+    message::{Reason, Response, SendOrder, Trigger},
     part::{Part, State},
 };
 use tgw_clock::Millis;
@@ -110,8 +110,8 @@
     }
 
     /// Gives a part up because its request is quarantined.
-    pub(crate) fn give_up_quarantined(&mut self, index: usize, why: Why) {
-        self.withhold(index, why, Reason::Quarantined);
+    pub(crate) fn give_up_quarantined(&mut self, index: usize, trigger: Trigger) {
+        self.withhold(index, trigger, Reason::Quarantined);
         let part = &mut self.parts[index];
         if part.in_flight == 0 {
             part.state = State::GivenUp;
@@ -119,17 +119,17 @@
     }
 
     /// Makes the delayed sends that are allowed now.
-    pub(crate) fn send_delayed(&mut self, now: Millis, core: &mut Core, out: &mut Vec<Order>) {
-        while let Some((index, why)) = self.next_delayed(core) {
+    pub(crate) fn send_delayed(&mut self, now: Millis, core: &mut Core, out: &mut Vec<SendOrder>) {
+        while let Some((index, trigger)) = self.next_delayed(core) {
             self.parts[index].delayed = None;
-            self.order_send(now, index, why, core, out);
+            self.order_send(now, index, trigger, core, out);
             self.give_up_or_defer(now, index, core);
         }
     }
 
     /// The delayed part with the fewest sends, unless a send in flight has to end first: the
     /// outcome at another service says more about the request.
-    fn next_delayed(&self, core: &Core) -> Option<(usize, Why)> {
+    fn next_delayed(&self, core: &Core) -> Option<(usize, Trigger)> {
         if self.is_limited(core) && self.parts.iter().any(|p| p.in_flight > 0) {
             return None;
         }
--- a/crates/tgw-forward/src/scope.rs
+++ b/crates/tgw-forward/src/scope.rs
@@ -42,8 +42,8 @@
     }
 
     /// Authorizes the write of a send's request; false if it may not be sent at all, or not now.
-    pub fn clear(&mut self, now: Millis, route: Option<&Route>, ticket: Ticket) -> bool {
-        self.permits(route, ticket.upstream) && self.fleet.write(now, ticket)
+    pub fn authorize_write(&mut self, now: Millis, route: Option<&Route>, ticket: Ticket) -> bool {
+        self.permits(route, ticket.upstream) && self.fleet.authorize_write(now, ticket)
     }
 }
 
--- a/crates/tgw-forward/src/sends.rs
+++ b/crates/tgw-forward/src/sends.rs
@@ -1,7 +1,7 @@
 use crate::{
     Core, Plan,
     fleet::{Choice, Hop},
-    message::{Order, Reason, Why, Withheld},
+    message::{Reason, SendOrder, Trigger, Withheld},
     part::Placement,
     quarantine::Permission,
     upstream::Distance,
@@ -19,19 +19,24 @@
 /// First sends, hedges and retries of a request.
 impl Plan {
     /// Tries deferred parts again.
-    pub(crate) fn retry_deferred(&mut self, now: Millis, core: &mut Core, out: &mut Vec<Order>) {
+    pub(crate) fn retry_deferred(
+        &mut self,
+        now: Millis,
+        core: &mut Core,
+        out: &mut Vec<SendOrder>,
+    ) {
         for index in 0..self.parts.len() {
             let part = &mut self.parts[index];
             if part.waiting() && part.deferred_until.is_some_and(|at| now >= at) {
                 part.end_deferral();
-                let why = if part.sends == 0 { Why::First } else { Why::Retry };
-                self.order_send(now, index, why, core, out);
+                let trigger = if part.sends == 0 { Trigger::First } else { Trigger::Retry };
+                self.order_send(now, index, trigger, core, out);
                 self.give_up_or_defer(now, index, core);
             }
         }
     }
 
-    pub(crate) fn send_hedges(&mut self, now: Millis, core: &mut Core, out: &mut Vec<Order>) {
+    pub(crate) fn send_hedges(&mut self, now: Millis, core: &mut Core, out: &mut Vec<SendOrder>) {
         for index in 0..self.parts.len() {
             let part = &mut self.parts[index];
             if part.waiting() && part.late_at.is_some_and(|at| now >= at) {
@@ -47,7 +52,7 @@
             if part.waiting() && part.hedge_at.is_some_and(|at| now >= at) {
                 part.hedge_at = None;
                 if core.policy().hedges {
-                    self.order_send(now, index, Why::Hedge, core, out);
+                    self.order_send(now, index, Trigger::Hedge, core, out);
                 }
             }
         }
@@ -58,27 +63,27 @@
         &mut self,
         now: Millis,
         index: usize,
-        why: Why,
+        trigger: Trigger,
         core: &mut Core,
-        out: &mut Vec<Order>,
+        out: &mut Vec<SendOrder>,
     ) {
         let seen = match self.permission(now, index, core) {
             Permission::Granted(seen) => seen,
             Permission::Wait => {
-                self.parts[index].delayed = Some(why);
+                self.parts[index].delayed = Some(trigger);
                 return;
             }
-            Permission::Denied => return self.give_up_quarantined(index, why),
+            Permission::Denied => return self.give_up_quarantined(index, trigger),
         };
-        if why == Why::Hedge && seen != Seen::default() {
+        if trigger == Trigger::Hedge && seen != Seen::default() {
             return;
         }
         let route = self.route.clone();
         let requirement = self.requirement(index);
         let part = &mut self.parts[index];
-        let placement = match part.choose_upstream(now, (why, requirement), &route, core) {
+        let placement = match part.choose_upstream(now, (trigger, requirement), &route, core) {
             Ok(placement) => placement,
-            Err(reason) => return self.withhold(index, why, reason),
+            Err(reason) => return self.withhold(index, trigger, reason),
         };
         let Placement { choice: Choice { key, hop }, fallback, lent } = placement;
         let previous = part.tried.last().copied();
@@ -90,39 +95,39 @@
         part.tries += 1;
         part.sends += 1;
         part.in_flight += 1;
-        let ticket = core.fleet.send(now, key);
+        let ticket = core.fleet.record_send(now, key);
         part.hedge_at = None;
         part.late_at = None;
         if part.can_send(&route) && route.safety == Safety::Idempotent {
-            let distance = core.fleet.get(key).map_or(Distance::Far, |u| u.distance);
+            let distance = core.fleet.get(key).map_or(Distance::OtherRegion, |u| u.distance);
             let hedge = core.hedge(&route, distance);
-            if why == Why::First {
+            if trigger == Trigger::First {
                 hedge.request();
             }
             let delay =
                 hedge.delay().min(route.aim.scale(MAX_HEDGE_DELAY_FACTOR)).max(MIN_HEDGE_DELAY_MS);
             part.late_at = Some(now + delay);
-            let far_delay = core.hedge(&route, Distance::Far).delay();
-            let latest = (self.answer_by - now) - far_delay;
+            let other_region_delay = core.hedge(&route, Distance::OtherRegion).delay();
+            let latest = (self.answer_by - now) - other_region_delay;
             let extra_delay = (latest - delay).scale(core.policy().hedge_wait);
             part.hedge_at = Some(now + delay + extra_delay);
         }
         let limits = if hop == Hop::Peer { self.part_limits() } else { None };
-        out.push(Order {
+        out.push(SendOrder {
             part: index,
             ticket,
-            why,
+            trigger,
             hop,
-            insist: fallback,
+            fallback,
             lent,
-            after: previous,
-            cut: limits,
+            previous,
+            limits,
             seen,
         });
     }
 
-    pub(crate) fn withhold(&mut self, index: usize, why: Why, reason: Reason) {
-        let withheld = Withheld { part: index, why, reason };
+    pub(crate) fn withhold(&mut self, index: usize, trigger: Trigger, reason: Reason) {
+        let withheld = Withheld { part: index, trigger, reason };
         // A deferred part is tried each 20 ms: while all upstreams of a service were gone, half of
         // all log lines repeated this.
         if self.parts[index].last_withheld.replace(withheld) != Some(withheld) {
--- a/crates/tgw-forward/src/upstream/entry.rs
+++ b/crates/tgw-forward/src/upstream/entry.rs
@@ -42,7 +42,7 @@
     /// In another failure domain of the region.
     Region = 1,
     /// In another region.
-    Far = 2,
+    OtherRegion = 2,
 }
 
 impl Distance {
@@ -52,7 +52,7 @@
         match self {
             Self::Domain => 0.0,
             Self::Region => 4.0,
-            Self::Far => 35.0,
+            Self::OtherRegion => 35.0,
         }
     }
 }
--- a/crates/tgw-forward/src/upstream/mod.rs
+++ b/crates/tgw-forward/src/upstream/mod.rs
@@ -6,7 +6,7 @@
 mod outcome;
 
 pub use entry::{Distance, Entry};
-pub use outcome::Sign;
+pub use outcome::SendOutcome;
 
 use crate::{
     Policy,
@@ -76,11 +76,11 @@
 
 /// Report about an upstream, from a VM to others that are as near to it.
 #[derive(Copy, Clone, Debug, PartialEq)]
-pub struct Word {
+pub struct PeerReport {
     /// Whether a send to it is overdue.
     pub overdue: bool,
     /// Its expected latency, in ms.
-    pub expected: f64,
+    pub expected_latency_ms: f64,
 }
 
 /// A send in flight.
@@ -156,7 +156,7 @@
     }
 
     /// The number of sends in flight.
-    pub fn running(&self) -> u32 {
+    pub fn in_flight(&self) -> u32 {
         u32::try_from(self.in_flight.len()).unwrap_or(u32::MAX)
     }
 
@@ -176,7 +176,7 @@
         if self.entry.draining {
             return false;
         }
-        let in_flight = self.running();
+        let in_flight = self.in_flight();
         // Each connection costs the upstream some ms of a slot. Many at once, as after a restart,
         // or repeated attempts at a full upstream, take the time that requests need.
         in_flight < self.connections
@@ -188,7 +188,7 @@
 
     /// Whether one more send may be made through another VM, which has the connections.
     pub fn has_peer_room(&self, limit: u32) -> bool {
-        !self.entry.draining && self.running() < limit
+        !self.entry.draining && self.in_flight() < limit
     }
 
     /// Whether this VM should refuse to send to it on behalf of others: a report or its own sends
@@ -242,11 +242,11 @@
     }
 
     /// Records the outcome of a send.
-    pub fn record_outcome(&mut self, now: Millis, number: u64, outcome: Sign) {
+    pub fn record_outcome(&mut self, now: Millis, number: u64, outcome: SendOutcome) {
         let Some(at) = self.in_flight.iter().position(|send| send.number == number) else { return };
         let PendingSend { sent_at: sent, .. } = self.in_flight.remove(at);
         match outcome {
-            Sign::Reply => {
+            SendOutcome::Reply => {
                 self.record_latency(now, (now - sent).as_f64());
                 self.apply_reported_pace(sent);
                 self.update_failure_rate(0.0);
@@ -254,26 +254,26 @@
                 self.backoff_until = Millis::ZERO;
                 self.reported_overdue_until = Millis::ZERO;
             }
-            Sign::Failure | Sign::Broken => {
+            SendOutcome::Failure | SendOutcome::Broken => {
                 self.update_failure_rate(1.0);
                 self.backoff_steps = 0;
             }
-            Sign::Shed => {
+            SendOutcome::Shed => {
                 self.update_failure_rate(1.0);
                 self.backoff_until = now + Millis::from_f64(self.policy.shed_avoid);
             }
-            Sign::Unreachable | Sign::Silent => {
+            SendOutcome::Unreachable | SendOutcome::TimedOut => {
                 self.update_failure_rate(1.0);
                 self.back_off(now);
                 self.mark_possibly_cold(now + COLD_SUSPICION_TIMEOUT_MS);
             }
-            Sign::Crowded => {
+            SendOutcome::ConnectionLimit => {
                 let span = (INITIAL_CONNECT_BACKOFF_MS << self.connection_resets.min(8))
                     .min(MAX_CONNECT_BACKOFF_MS);
                 self.connection_resets += 1;
                 self.connect_after = now + Millis::new(span);
             }
-            Sign::Busy | Sign::Dropped => {}
+            SendOutcome::PeerRefused | SendOutcome::Abandoned => {}
         }
     }
 
@@ -297,7 +297,7 @@
         self.latency_ms = if self.sampled_at.is_none() {
             ms
         } else {
-            let known = self.expected(now);
+            let known = self.expected_latency_ms(now);
             // One request behind a pause of 200 ms would make an upstream 10 ms away look more
             // distant than another region for seconds. Pauses show as overdue sends while they
             // last, and an upstream that stays slow is detected after a few replies even so.
@@ -319,7 +319,7 @@
     }
 
     /// The expected latency in ms of a send with no other send in flight.
-    pub fn expected(&self, now: Millis) -> f64 {
+    pub fn expected_latency_ms(&self, now: Millis) -> f64 {
         let prior_latency_ms = self.prior_latency_ms;
         match self.sampled_at {
             // A low latency is kept; a high one decays, so that the upstream is tried again.
@@ -357,11 +357,12 @@
     pub fn overdue_age(&self, now: Millis) -> Option<Millis> {
         let oldest = self.in_flight.iter().map(|send| send.sent_at).min()?;
         let age = now - oldest;
-        (age.as_f64() > self.expected(now) * OVERDUE_FACTOR + OVERDUE_MARGIN_MS).then_some(age)
+        (age.as_f64() > self.expected_latency_ms(now) * OVERDUE_FACTOR + OVERDUE_MARGIN_MS)
+            .then_some(age)
     }
 
     /// The report for other VMs if it is late or slow; limited to one per interval.
-    pub fn take_report(&mut self, now: Millis) -> Option<Word> {
+    pub fn take_report(&mut self, now: Millis) -> Option<PeerReport> {
         let overdue = self.overdue_age(now).is_some();
         let due = self.policy.words
             && now
@@ -371,16 +372,20 @@
                     } else {
                         SLOW_REPORT_INTERVAL_MS
                     });
-        let expected = self.expected(now);
-        let slow = expected > self.prior_latency_ms * SLOW_FACTOR;
+        let expected_latency_ms = self.expected_latency_ms(now);
+        let slow = expected_latency_ms > self.prior_latency_ms * SLOW_FACTOR;
         (due && (overdue || slow)).then(|| {
             self.reported_at = now;
-            Word { overdue, expected }
+            PeerReport { overdue, expected_latency_ms }
         })
     }
 
     /// Applies a report of another VM that is as near to the upstream.
-    pub fn apply_report(&mut self, now: Millis, Word { overdue, expected }: Word) {
+    pub fn apply_report(
+        &mut self,
+        now: Millis,
+        PeerReport { overdue, expected_latency_ms }: PeerReport,
+    ) {
         // A VM that sends an upstream two requests a second runs into most pauses and slow
         // upstreams unwarned. A report from one VM of a region spares the others that.
         if overdue {
@@ -388,8 +393,8 @@
         }
         let has_recent_sample =
             self.sampled_at.is_some_and(|at| now - at < Millis::new(OWN_SAMPLE_PRECEDENCE_MS));
-        if !has_recent_sample && expected > self.expected(now) {
-            self.latency_ms = expected;
+        if !has_recent_sample && expected_latency_ms > self.expected_latency_ms(now) {
+            self.latency_ms = expected_latency_ms;
             self.sampled_at = Some(now);
         }
     }
@@ -397,11 +402,12 @@
     /// The expected cost of a send at `now`, in ms; the upstream with the lowest cost is the best
     /// choice.
     pub fn cost(&self, now: Millis, hop: Hop) -> f64 {
-        let expected = self.expected(now);
+        let expected_latency_ms = self.expected_latency_ms(now);
         let slots = f64::from(self.entry.slots.max(1));
-        let waiting = (f64::from(self.running()) + 1.0 - slots).max(0.0) / slots;
-        let mut cost = expected * (1.0 + waiting) + self.failure_rate * self.policy.failure_cost;
-        if hop == Hop::Direct && self.running() >= self.connections {
+        let waiting = (f64::from(self.in_flight()) + 1.0 - slots).max(0.0) / slots;
+        let mut cost =
+            expected_latency_ms * (1.0 + waiting) + self.failure_rate * self.policy.failure_cost;
+        if hop == Hop::Direct && self.in_flight() >= self.connections {
             cost += CONNECT_COST_MS;
         }
         if let Some(age) = self.overdue_age(now).filter(|_| self.policy.overdue) {
--- a/crates/tgw-forward/src/upstream/outcome.rs
+++ b/crates/tgw-forward/src/upstream/outcome.rs
@@ -1,6 +1,6 @@
 /// Outcome of one send, as far as it affects the upstream's state.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
-pub enum Sign {
+pub enum SendOutcome {
     /// A complete reply.
     Reply,
     /// A complete reply that reports a failure of the upstream.
@@ -12,16 +12,16 @@
     /// No connection could be made: the address does not answer or refuses.
     Unreachable,
     /// The upstream reset a new connection: it is at its connection limit.
-    Crowded,
+    ConnectionLimit,
     /// No reply in time.
-    Silent,
+    TimedOut,
     /// The peer VM had no room or suspects the upstream; nothing was sent.
-    Busy,
+    PeerRefused,
     /// Abandoned by this VM; says nothing about the upstream.
-    Dropped,
+    Abandoned,
 }
 
-impl Sign {
+impl SendOutcome {
     /// The name in logs and metrics.
     pub fn text(self) -> &'static str {
         match self {
@@ -30,10 +30,10 @@
             Self::Shed => "shed",
             Self::Broken => "broken",
             Self::Unreachable => "unreachable",
-            Self::Crowded => "crowded",
-            Self::Silent => "silent",
-            Self::Busy => "busy",
-            Self::Dropped => "dropped",
+            Self::ConnectionLimit => "crowded",
+            Self::TimedOut => "silent",
+            Self::PeerRefused => "busy",
+            Self::Abandoned => "dropped",
         }
     }
 }
--- a/crates/tgw-forward/src/warmup.rs
+++ b/crates/tgw-forward/src/warmup.rs
@@ -17,7 +17,7 @@
 /// Time in ms for which the leases of a VM considered dead are not reassigned: it was unresponsive
 /// for 1.5 s before, so it has given them up unless it was paused, and then gives them up within a
 /// second of resuming.
-pub const REMEMBERED: Millis = Millis::new(1_500);
+pub const DEAD_VM_LEASE_RETENTION_MS: Millis = Millis::new(1_500);
 /// Additional time in ms for which a dead VM counts towards the quorum: a partitioned minority of
 /// VMs must not hold leases that the others hold, for as long as a partition is likely to last.
 const QUORUM_RETENTION_MS: Millis = Millis::new(30_000);
@@ -28,14 +28,14 @@
 
 /// How far operators allow all VMs together to exceed the configured rate of a cold upstream.
 #[derive(Copy, Clone, Debug, PartialEq)]
-pub struct Excess {
+pub struct Headroom {
     /// Multiple of the rate.
     pub factor: f64,
     /// Requests per second beyond that.
     pub constant: f64,
 }
 
-impl Default for Excess {
+impl Default for Headroom {
     fn default() -> Self {
         Self { factor: 1.0, constant: 0.0 }
     }
@@ -51,7 +51,7 @@
 
 impl LeaseTerms {
     /// The terms for upstreams that accept `rate` requests a second; `None` without a rate limit.
-    pub fn new(rate: f64, headroom: Excess) -> Option<Self> {
+    pub fn new(rate: f64, headroom: Headroom) -> Option<Self> {
         if rate <= 0.0 {
             return None;
         }
@@ -93,7 +93,7 @@
 
 /// A VM that may hold leases.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seat {
+pub struct Candidate {
     /// Its identity.
     pub vm: u64,
     /// Its address.
@@ -104,19 +104,19 @@
 
 /// The VMs that compete for leases on cold upstreams, by failure domain.
 #[derive(Clone, Debug, Default)]
-pub struct Roster {
+pub struct Candidates {
     own_vm: u64,
-    domains: BTreeMap<Rc<str>, Vec<Seat>>,
+    domains: BTreeMap<Rc<str>, Vec<Candidate>>,
     last_contact: Millis,
 }
 
-impl Roster {
+impl Candidates {
     /// The VMs known to the VM `own_vm`.
-    pub fn new(own_vm: u64, domains: BTreeMap<Rc<str>, Vec<Seat>>) -> Self {
+    pub fn new(own_vm: u64, domains: BTreeMap<Rc<str>, Vec<Candidate>>) -> Self {
         Self { own_vm, domains, last_contact: Millis::ZERO }
     }
 
-    /// Replaces the VMs by those of a newer roster.
+    /// Replaces the VMs by those of a newer set.
     pub(crate) fn update(&mut self, newer: Self) {
         let last_contact = self.last_contact;
         *self = Self { last_contact, ..newer };
@@ -129,15 +129,16 @@
 
     /// The VMs that may hold the lease on an upstream: those of its failure domain, else of its
     /// region, else all. After a partition between domains they can then still reach the upstream.
-    fn candidates<'a>(&'a self, domain: &str, place: &Place) -> SmallVec<[&'a Seat; 16]> {
-        let local: SmallVec<[&Seat; 16]> = self.domains.get(domain).into_iter().flatten().collect();
+    fn eligible<'a>(&'a self, domain: &str, place: &Place) -> SmallVec<[&'a Candidate; 16]> {
+        let local: SmallVec<[&Candidate; 16]> =
+            self.domains.get(domain).into_iter().flatten().collect();
         if !local.is_empty() {
             return local;
         }
         let region = place.region(domain);
         let in_region = |other: &str| region.is_some() && place.region(other) == region;
         let regional = self.domains.iter().filter(|(other, _)| in_region(other));
-        let regional: SmallVec<[&Seat; 16]> = regional.flat_map(|(_, vms)| vms).collect();
+        let regional: SmallVec<[&Candidate; 16]> = regional.flat_map(|(_, vms)| vms).collect();
         if regional.is_empty() { self.domains.values().flatten().collect() } else { regional }
     }
 
@@ -156,8 +157,8 @@
         entry: &Entry,
         place: &Place,
         count: usize,
-    ) -> SmallVec<[&'a Seat; 4]> {
-        let mut ranked = self.candidates(&entry.domain, place);
+    ) -> SmallVec<[&'a Candidate; 4]> {
+        let mut ranked = self.eligible(&entry.domain, place);
         ranked.retain(|candidate| candidate.dead_until.is_none_or(|until| now < until));
         ranked.sort_by_cached_key(|candidate| xxh3_64_with_seed(entry.id.as_bytes(), candidate.vm));
         ranked.into_iter().take(count).collect()
@@ -168,7 +169,7 @@
     /// dead and would otherwise hold every lease.
     pub(crate) fn has_quorum(&self, now: Millis, entry: &Entry, place: &Place) -> bool {
         let known: usize = self.domains.values().map(Vec::len).sum();
-        let mut candidates = self.candidates(&entry.domain, place);
+        let mut candidates = self.eligible(&entry.domain, place);
         candidates.retain(|candidate| {
             candidate.dead_until.is_none_or(|until| now < until + QUORUM_RETENTION_MS)
         });
--- a/crates/tgw-forward/tests/budget/mod.rs
+++ b/crates/tgw-forward/tests/budget/mod.rs
@@ -5,20 +5,20 @@
 use tgw_forward::{
     core::{Budget, Vms},
     fleet::Hop,
-    plan::{Answer, Ended, Why},
-    upstream::Sign,
+    plan::{Answer, SendResult, Trigger},
+    upstream::SendOutcome,
 };
 use tgw_route::Safety;
 
 /// One VM with a budget of `extra` extra sends per service and window.
 fn world_with_extra(extra: f64) -> World {
     let mut world = World::with_budget(4, Budget { share: 0.0, constant: extra / 0.92 + 0.1 });
-    world.core.set_vms(Vms { all: 1, near: 1 });
+    world.core.set_vms(Vms { all: 1, in_region: 1 });
     world
 }
 
 fn decline(world: &mut World, index: usize) -> Option<Answer> {
-    world.end(index, Ended::Declined, Sign::Shed)
+    world.end(index, SendResult::Declined, SendOutcome::Shed)
 }
 
 // Most upstreams of a shard shed half of their requests. A part that was declined twice was not
@@ -41,10 +41,10 @@
 fn declined_sends_do_not_extend_attempts() {
     let mut world = world_with_extra(10.0);
     world.start(&route(shards(1), Safety::Idempotent));
-    assert!(world.end(0, Ended::Broken, Sign::Broken).is_none());
+    assert!(world.end(0, SendResult::Broken, SendOutcome::Broken).is_none());
     assert!(decline(&mut world, 1).is_none());
     assert!(world.wake().is_none());
-    let answer = world.end(2, Ended::Broken, Sign::Broken);
+    let answer = world.end(2, SendResult::Broken, SendOutcome::Broken);
     assert!(matches!(answer, Some(Answer::Failed(_))), "{answer:?}");
     assert_eq!(world.orders.len(), 3);
 }
@@ -94,8 +94,9 @@
             decline(&mut world, 1);
             decline(&mut world, 4);
         }
-        world.end(0, Ended::Broken, Sign::Broken);
-        let retries = |o: &usize| world.orders[*o].part == 0 && world.orders[*o].why == Why::Retry;
+        world.end(0, SendResult::Broken, SendOutcome::Broken);
+        let retries =
+            |o: &usize| world.orders[*o].part == 0 && world.orders[*o].trigger == Trigger::Retry;
         let retries: Vec<usize> = (0..world.orders.len()).filter(retries).collect();
         retries.iter().for_each(|index| drop(world.reply(*index, &record(1))));
         retries.len()
@@ -109,7 +110,7 @@
 /// A VM with a peer in the other region and a budget of `extra` extra sends.
 fn world_with_peer(extra: f64) -> World {
     let mut world = world_with_extra(extra);
-    world.core.fleet.set_manned(["r2".into()].into());
+    world.core.fleet.set_peer_regions(["r2".into()].into());
     world
 }
 
@@ -117,7 +118,7 @@
 /// VM.
 fn retry_is_lent(world: &mut World) -> bool {
     world.start(&route(shards(1), Safety::Idempotent));
-    world.end(0, Ended::Broken, Sign::Broken);
+    world.end(0, SendResult::Broken, SendOutcome::Broken);
     world.orders[1].lent
 }
 
@@ -139,7 +140,7 @@
     let mut world = world_with_peer(0.0);
     world.start(&route(shards(4), Safety::Idempotent));
     (0..3).for_each(|index| assert!(world.reply(index, &record(1)).is_none()));
-    world.end(3, Ended::Broken, Sign::Broken);
+    world.end(3, SendResult::Broken, SendOutcome::Broken);
     assert_eq!(world.orders.len(), 4, "an answer without it is a success");
     world.start(&route(shards(1), Safety::Idempotent));
     world.wake();
@@ -153,7 +154,7 @@
     let mut world = world_with_peer(1.0);
     assert!(!retry_is_lent(&mut world));
     assert!(retry_is_lent(&mut world));
-    world.end(1, Ended::Busy, Sign::Busy);
+    world.end(1, SendResult::PeerRefused, SendOutcome::PeerRefused);
     assert!(retry_is_lent(&mut world), "its own budget is still exhausted");
 }
 
@@ -164,7 +165,7 @@
     const VMS: u32 = 20;
     let lent = || {
         let mut world = World::with_budget(1, Budget { share: 0.0, constant: 60.0 });
-        world.core.set_vms(Vms { all: VMS, near: 5 });
+        world.core.set_vms(Vms { all: VMS, in_region: 5 });
         (0..100).filter(|_| world.core.lend(world.now, &"s0".into())).count()
     };
     let sum: usize = (0..VMS).map(|_| lent()).sum();
--- a/crates/tgw-forward/tests/catalog/mod.rs
+++ b/crates/tgw-forward/tests/catalog/mod.rs
@@ -5,7 +5,7 @@
 use tgw_clock::Millis;
 use tgw_forward::{
     Catalog, Fleet, Policy, Scope,
-    catalog::GRACE,
+    catalog::MISSING_ENTRY_RETENTION_MS,
     fleet::{Key, Place},
     upstream::Entry,
 };
@@ -18,7 +18,7 @@
     let (mut fleet, mut catalog) =
         (Fleet::new(Place::default(), Policy::default()), Catalog::default());
     let entries = vec![entry("a", "s", NEAR), entry("b", "s", NEAR)];
-    catalog.listed(Millis::ZERO, entries.clone(), &[], &mut fleet);
+    catalog.apply_list(Millis::ZERO, entries.clone(), &[], &mut fleet);
     (fleet, catalog, entries)
 }
 
@@ -28,12 +28,12 @@
 #[test]
 fn entries_lapsed_during_outage_are_retained() {
     let (mut fleet, mut catalog, entries) = fleet_and_catalog();
-    catalog.lost(Millis::new(9_900));
+    catalog.record_store_failure(Millis::new(9_900));
     let back = Millis::new(10_000);
-    catalog.listed(back, vec![], &[], &mut fleet);
+    catalog.apply_list(back, vec![], &[], &mut fleet);
     assert_eq!(fleet.len(), 2);
-    catalog.changed(back + Millis::new(900), entries[0].clone(), &mut fleet);
-    catalog.tick(back + GRACE, &mut fleet);
+    catalog.apply_write(back + Millis::new(900), entries[0].clone(), &mut fleet);
+    catalog.tick(back + MISSING_ENTRY_RETENTION_MS, &mut fleet);
     assert_eq!(fleet.ids().map(Rc::to_string).collect::<Vec<_>>(), ["a"]);
 }
 
@@ -42,9 +42,9 @@
 #[test]
 fn entry_removed_while_store_is_up_is_dropped_at_once() {
     let (mut fleet, mut catalog, entries) = fleet_and_catalog();
-    catalog.removed(&"a".into(), &mut fleet);
+    catalog.apply_removal(&"a".into(), &mut fleet);
     assert_eq!(fleet.len(), 1);
-    catalog.listed(Millis::new(6_000), entries[..1].to_vec(), &[], &mut fleet);
+    catalog.apply_list(Millis::new(6_000), entries[..1].to_vec(), &[], &mut fleet);
     assert_eq!(fleet.ids().map(Rc::to_string).collect::<Vec<_>>(), ["a"]);
 }
 
@@ -53,10 +53,10 @@
 #[test]
 fn entry_removed_after_outage_is_dropped_at_once() {
     let (mut fleet, mut catalog, entries) = fleet_and_catalog();
-    catalog.lost(Millis::new(9_900));
+    catalog.record_store_failure(Millis::new(9_900));
     let back = Millis::new(10_000);
-    catalog.listed(back, entries.clone(), &[], &mut fleet);
-    catalog.removed(&"a".into(), &mut fleet);
+    catalog.apply_list(back, entries.clone(), &[], &mut fleet);
+    catalog.apply_removal(&"a".into(), &mut fleet);
     assert_eq!(fleet.ids().map(Rc::to_string).collect::<Vec<_>>(), ["b"]);
 }
 
@@ -66,9 +66,9 @@
 fn draining_upstream_is_not_retained() {
     let (mut fleet, mut catalog, entries) = fleet_and_catalog();
     let draining = Entry { draining: true, ..entries[0].clone() };
-    catalog.changed(Millis::new(1_000), draining, &mut fleet);
-    catalog.lost(Millis::new(9_900));
-    catalog.listed(Millis::new(10_000), entries[1..].to_vec(), &[], &mut fleet);
+    catalog.apply_write(Millis::new(1_000), draining, &mut fleet);
+    catalog.record_store_failure(Millis::new(9_900));
+    catalog.apply_list(Millis::new(10_000), entries[1..].to_vec(), &[], &mut fleet);
     assert_eq!(fleet.ids().map(Rc::to_string).collect::<Vec<_>>(), ["b"]);
 }
 
@@ -77,9 +77,9 @@
 #[test]
 fn store_that_serves_other_vms_is_not_down() {
     let (mut fleet, mut catalog, entries) = fleet_and_catalog();
-    catalog.heard(Millis::new(9_500));
-    catalog.lost(Millis::new(9_900));
-    catalog.listed(Millis::new(10_000), entries[1..].to_vec(), &[], &mut fleet);
+    catalog.record_store_alive(Millis::new(9_500));
+    catalog.record_store_failure(Millis::new(9_900));
+    catalog.apply_list(Millis::new(10_000), entries[1..].to_vec(), &[], &mut fleet);
     assert_eq!(fleet.ids().map(Rc::to_string).collect::<Vec<_>>(), ["b"]);
 }
 
@@ -88,9 +88,9 @@
 #[test]
 fn old_failure_is_no_current_outage() {
     let (mut fleet, mut catalog, entries) = fleet_and_catalog();
-    catalog.lost(Millis::new(2_900));
-    catalog.listed(Millis::new(3_000), entries.clone(), &[], &mut fleet);
-    catalog.listed(Millis::new(60_000), entries[1..].to_vec(), &[], &mut fleet);
+    catalog.record_store_failure(Millis::new(2_900));
+    catalog.apply_list(Millis::new(3_000), entries.clone(), &[], &mut fleet);
+    catalog.apply_list(Millis::new(60_000), entries[1..].to_vec(), &[], &mut fleet);
     assert_eq!(fleet.ids().map(Rc::to_string).collect::<Vec<_>>(), ["b"]);
 }
 
@@ -98,9 +98,9 @@
 #[test]
 fn short_outage_lapses_no_entry() {
     let (mut fleet, mut catalog, entries) = fleet_and_catalog();
-    catalog.answered(Millis::new(9_000));
-    catalog.lost(Millis::new(9_900));
-    catalog.listed(Millis::new(10_000), entries[1..].to_vec(), &[], &mut fleet);
+    catalog.record_store_answer(Millis::new(9_000));
+    catalog.record_store_failure(Millis::new(9_900));
+    catalog.apply_list(Millis::new(10_000), entries[1..].to_vec(), &[], &mut fleet);
     assert_eq!(fleet.ids().map(Rc::to_string).collect::<Vec<_>>(), ["b"]);
 }
 
@@ -110,8 +110,8 @@
 fn peer_report_does_not_extend_retention() {
     let (mut fleet, mut catalog, _) = fleet_and_catalog();
     let now = Millis::new(5_000);
-    catalog.lapsed(now, &"a".into(), Millis::new(60_000), &mut fleet);
-    assert!(catalog.tick(now + GRACE, &mut fleet).contains(&"a".into()));
+    catalog.retain_lapsed(now, &"a".into(), Millis::new(60_000), &mut fleet);
+    assert!(catalog.tick(now + MISSING_ENTRY_RETENTION_MS, &mut fleet).contains(&"a".into()));
     assert!(fleet.key("a").is_none());
 }
 
@@ -119,10 +119,10 @@
 #[test]
 fn pause_of_this_vm_is_no_outage() {
     let (mut fleet, mut catalog, entries) = fleet_and_catalog();
-    catalog.answered(Millis::new(4_900));
-    catalog.lost(Millis::new(9_900));
-    catalog.paused(Millis::new(5_000));
-    catalog.listed(Millis::new(10_000), entries[1..].to_vec(), &[], &mut fleet);
+    catalog.record_store_answer(Millis::new(4_900));
+    catalog.record_store_failure(Millis::new(9_900));
+    catalog.exclude_pause(Millis::new(5_000));
+    catalog.apply_list(Millis::new(10_000), entries[1..].to_vec(), &[], &mut fleet);
     assert_eq!(fleet.ids().map(Rc::to_string).collect::<Vec<_>>(), ["b"]);
 }
 
@@ -131,9 +131,9 @@
 #[test]
 fn gap_between_reads_is_no_outage() {
     let (mut fleet, mut catalog, entries) = fleet_and_catalog();
-    catalog.answered(Millis::new(7_000));
-    catalog.lost(Millis::new(7_700));
-    catalog.listed(Millis::new(10_000), entries[1..].to_vec(), &[], &mut fleet);
+    catalog.record_store_answer(Millis::new(7_000));
+    catalog.record_store_failure(Millis::new(7_700));
+    catalog.apply_list(Millis::new(10_000), entries[1..].to_vec(), &[], &mut fleet);
     assert_eq!(fleet.ids().map(Rc::to_string).collect::<Vec<_>>(), ["b"]);
 }
 
@@ -145,8 +145,8 @@
     let [a, b] = ["a", "b"].map(|id| fleet.key(id).unwrap());
     assert!(accepts_requests(&fleet, a) && accepts_requests(&fleet, b));
     let draining = Entry { draining: true, ..entries[0].clone() };
-    catalog.changed(Millis::new(1_000), draining, &mut fleet);
-    catalog.removed(&"b".into(), &mut fleet);
+    catalog.apply_write(Millis::new(1_000), draining, &mut fleet);
+    catalog.apply_removal(&"b".into(), &mut fleet);
     assert!(!accepts_requests(&fleet, a) && !accepts_requests(&fleet, b));
 }
 
@@ -156,10 +156,10 @@
 #[test]
 fn hanging_watch_is_no_outage() {
     let (mut fleet, mut catalog, entries) = fleet_and_catalog();
-    catalog.answered(Millis::new(6_500));
-    catalog.heard(Millis::new(9_000));
-    catalog.lost(Millis::new(9_500));
-    catalog.listed(Millis::new(9_600), entries[1..].to_vec(), &[], &mut fleet);
+    catalog.record_store_answer(Millis::new(6_500));
+    catalog.record_store_alive(Millis::new(9_000));
+    catalog.record_store_failure(Millis::new(9_500));
+    catalog.apply_list(Millis::new(9_600), entries[1..].to_vec(), &[], &mut fleet);
     assert_eq!(fleet.ids().map(Rc::to_string).collect::<Vec<_>>(), ["b"]);
 }
 
@@ -168,8 +168,8 @@
 #[test]
 fn answered_probe_does_not_hide_preceding_outage() {
     let (mut fleet, mut catalog, entries) = fleet_and_catalog();
-    catalog.lost(Millis::new(9_000));
-    catalog.heard(Millis::new(9_700));
-    catalog.listed(Millis::new(10_000), entries[1..].to_vec(), &[], &mut fleet);
+    catalog.record_store_failure(Millis::new(9_000));
+    catalog.record_store_alive(Millis::new(9_700));
+    catalog.apply_list(Millis::new(10_000), entries[1..].to_vec(), &[], &mut fleet);
     assert_eq!(fleet.len(), 2);
 }
--- a/crates/tgw-forward/tests/evacuation/mod.rs
+++ b/crates/tgw-forward/tests/evacuation/mod.rs
@@ -7,8 +7,8 @@
 use test_case::test_case;
 use tgw_forward::{
     hosting::{Refusal, Request},
-    plan::{Answer, Cause, Ended},
-    upstream::Sign,
+    plan::{Answer, Cause, SendResult},
+    upstream::SendOutcome,
 };
 use tgw_route::Safety;
 
@@ -45,9 +45,9 @@
     evacuate(&mut world, &[NEAR]);
     assert!(!world.core.permits(Some(&request), upstream));
     let hosted =
-        Request { upstream: "s0-near", started: 0, insist: true, lent: false, route: None };
+        Request { upstream: "s0-near", started: 0, fallback: true, lent: false, route: None };
     assert_eq!(world.core.host(world.now, hosted), Err(Refusal::Busy));
-    world.end(0, Ended::Unsent, Sign::Unreachable);
+    world.end(0, SendResult::NotConnected, SendOutcome::Unreachable);
     assert_eq!(&*world.upstream(1), "s0-far");
 }
 
--- a/crates/tgw-forward/tests/forward.rs
+++ b/crates/tgw-forward/tests/forward.rs
@@ -23,9 +23,9 @@
 use tgw_clock::Millis;
 use tgw_forward::{
     Policy, Scope,
-    core::{SendLimits, Vms, Way},
-    plan::{Answer, Cause, Ended, Why},
-    upstream::Sign,
+    core::{SendLimits, SendMode, Vms},
+    plan::{Answer, Cause, SendResult, Trigger},
+    upstream::SendOutcome,
 };
 use tgw_route::{Config, Safety, Service, Target, Warmup};
 use world::{FAR, NEAR, World, answered, entry, record, route, shards};
@@ -60,10 +60,10 @@
     assert!(world.start(&route(shards(2), Safety::Idempotent)).is_none());
     assert_eq!(world.orders.len(), 2);
     assert!(world.reply(0, &record(1)).is_none());
-    let Some(Answer::Merged { seals, missing, body }) = world.reply(1, &record(2)) else {
+    let Some(Answer::Merged { signatures, missing, body }) = world.reply(1, &record(2)) else {
         panic!("no answer");
     };
-    assert_eq!((seals.len(), missing), (2, 0));
+    assert_eq!((signatures.len(), missing), (2, 0));
     assert_eq!(&body[..], [record(2), record(1)].concat());
 }
 
@@ -90,7 +90,7 @@
     let mut answer = None;
     for index in [0, 1, 4, 5] {
         assert!(answer.is_none());
-        answer = world.end(index, Ended::Broken, Sign::Broken);
+        answer = world.end(index, SendResult::Broken, SendOutcome::Broken);
     }
     assert!(matches!(answer, Some(Answer::Failed(Cause::TooFewParts))), "{answer:?}");
 }
@@ -101,9 +101,9 @@
 fn duplicate_signature_counts_once() {
     let mut world = World::new(2);
     world.start(&route(shards(2), Safety::Idempotent));
-    world.end(0, answered(200, Some("same"), &record(1)), Sign::Reply);
-    assert!(world.end(1, answered(200, Some("same"), &record(1)), Sign::Reply).is_none());
-    assert_eq!(world.orders[2].why, Why::Retry);
+    world.end(0, answered(200, Some("same"), &record(1)), SendOutcome::Reply);
+    assert!(world.end(1, answered(200, Some("same"), &record(1)), SendOutcome::Reply).is_none());
+    assert_eq!(world.orders[2].trigger, Trigger::Retry);
 }
 
 #[test_case(500, Some("seal"); "a failure with a signature")]
@@ -111,9 +111,9 @@
 fn unsigned_or_failed_reply_is_no_part(status: u16, signature: Option<&str>) {
     let mut world = World::new(1);
     world.start(&route(shards(1), Safety::Idempotent));
-    assert!(world.end(0, answered(status, signature, &record(1)), Sign::Failure).is_none());
+    assert!(world.end(0, answered(status, signature, &record(1)), SendOutcome::Failure).is_none());
     assert_eq!(world.orders.len(), 2);
-    let answer = world.end(1, answered(status, signature, &record(1)), Sign::Failure);
+    let answer = world.end(1, answered(status, signature, &record(1)), SendOutcome::Failure);
     assert!(matches!(answer, Some(Answer::Failed(_))), "{answer:?}");
 }
 
@@ -126,7 +126,7 @@
     world.start(&route);
     assert_eq!(&*world.upstream(0), "s0-near");
     assert!(world.wake().is_none());
-    assert_eq!((world.orders[1].why, &*world.upstream(1)), (Why::Hedge, "s0-far"));
+    assert_eq!((world.orders[1].trigger, &*world.upstream(1)), (Trigger::Hedge, "s0-far"));
     assert!(world.now < Millis::new(1_000 + 75), "hedged at {}", world.now);
     world.start(&route);
     assert_eq!(&*world.upstream(0), "s0-far");
@@ -152,7 +152,7 @@
 fn at_most_once_is_neither_retried_nor_refused_after_broken_send() {
     let mut world = World::new(1);
     world.start(&route(one_service(), Safety::Once));
-    let answer = world.end(0, Ended::Broken, Sign::Broken);
+    let answer = world.end(0, SendResult::Broken, SendOutcome::Broken);
     assert!(matches!(answer, Some(Answer::Failed(Cause::UpstreamsFailed))), "{answer:?}");
     assert_eq!(world.orders.len(), 1);
 }
@@ -170,8 +170,8 @@
 fn request_declined_by_all_upstreams_is_refused_with_retry_after() {
     let mut world = World::new(1);
     world.start(&route(one_service(), Safety::Once));
-    assert!(world.end(0, Ended::Declined, Sign::Shed).is_none());
-    let answer = world.end(1, Ended::Declined, Sign::Shed);
+    assert!(world.end(0, SendResult::Declined, SendOutcome::Shed).is_none());
+    let answer = world.end(1, SendResult::Declined, SendOutcome::Shed);
     let Some(Answer::Refused { retry_after, cause: Cause::Full }) = answer else {
         panic!("{answer:?}");
     };
@@ -183,8 +183,8 @@
     let mut world = World::new(1);
     world.core.fleet.put(world.now, entry("s0-third", "s0", FAR));
     world.start(&route(one_service(), Safety::Idempotent));
-    assert!(world.end(0, Ended::Broken, Sign::Broken).is_none());
-    assert!(world.end(1, Ended::Broken, Sign::Broken).is_some());
+    assert!(world.end(0, SendResult::Broken, SendOutcome::Broken).is_none());
+    assert!(world.end(1, SendResult::Broken, SendOutcome::Broken).is_some());
     assert_eq!(world.orders.len(), 2);
 }
 
@@ -195,8 +195,8 @@
     let mut world = World::new(1);
     world.core.fleet.put(world.now, entry("s0-third", "s0", FAR));
     world.start(&route(one_service(), Safety::Once));
-    assert!(world.end(0, Ended::Unsent, Sign::Unreachable).is_none());
-    assert!(world.end(1, Ended::Declined, Sign::Shed).is_none());
+    assert!(world.end(0, SendResult::NotConnected, SendOutcome::Unreachable).is_none());
+    assert!(world.end(1, SendResult::Declined, SendOutcome::Shed).is_none());
     assert_eq!(world.orders.len(), 3);
 }
 
@@ -204,8 +204,8 @@
 fn failure_of_all_upstreams_is_forwarded_unchanged() {
     let mut world = World::new(1);
     world.start(&route(one_service(), Safety::Idempotent));
-    assert!(world.end(0, answered(500, Some("a"), b"1"), Sign::Failure).is_none());
-    let answer = world.end(1, answered(500, Some("b"), b"2"), Sign::Failure);
+    assert!(world.end(0, answered(500, Some("a"), b"1"), SendOutcome::Failure).is_none());
+    let answer = world.end(1, answered(500, Some("b"), b"2"), SendOutcome::Failure);
     let Some(Answer::Forward(reply)) = answer else { panic!("{answer:?}") };
     assert_eq!((reply.status, &reply.body[..]), (StatusCode::INTERNAL_SERVER_ERROR, &b"2"[..]));
 }
@@ -261,7 +261,7 @@
     world.core.fleet.remove("s0-far");
     let route = route(one_service(), Safety::Idempotent);
     world.start(&route);
-    world.end(0, Ended::Unsent, Sign::Crowded);
+    world.end(0, SendResult::NotConnected, SendOutcome::ConnectionLimit);
     world.start(&route);
     assert!(world.orders.is_empty());
     world.advance(40);
@@ -273,19 +273,19 @@
 fn at_most_two_pending_connections_within_this_vms_share() {
     let mut world = World::new(1);
     world.core.fleet.remove("s0-far");
-    world.core.set_vms(Vms { all: 8, near: 1 });
-    let limits = world.core.most("s0", Way::Direct);
+    world.core.set_vms(Vms { all: 8, in_region: 1 });
+    let limits = world.core.send_limits("s0", SendMode::Direct);
     let key = world.core.fleet.pick(world.now, "s0", limits, &[], Scope::default()).unwrap().key;
     let mut sends = 0;
     while world.core.fleet.pick(world.now, "s0", limits, &[], Scope::default()).is_some() {
-        world.core.fleet.send(world.now, key);
+        world.core.fleet.record_send(world.now, key);
         sends += 1;
         if sends == 2 {
-            world.core.fleet.opened(key);
-            world.core.fleet.opened(key);
+            world.core.fleet.connection_opened(key);
+            world.core.fleet.connection_opened(key);
         }
     }
-    assert_eq!((sends, limits), (4, SendLimits { near: 4, far: 4, peer: 0 }));
+    assert_eq!((sends, limits), (4, SendLimits { in_region: 4, other_regions: 4, peer: 0 }));
 }
 
 // All VMs lose power. Their connections still count at the upstreams for some seconds, and
@@ -293,12 +293,12 @@
 #[test]
 fn idle_connections_are_half_of_a_vms_share() {
     let mut world = World::new(1);
-    world.core.set_vms(Vms { all: 8, near: 1 });
-    let limits = world.core.most("s0", Way::Direct);
+    world.core.set_vms(Vms { all: 8, in_region: 1 });
+    let limits = world.core.send_limits("s0", SendMode::Direct);
     let key = world.core.fleet.pick(world.now, "s0", limits, &[], Scope::default()).unwrap().key;
-    assert_eq!((limits.near, world.core.keep(key)), (4, 2));
-    world.core.set_vms(Vms { all: 64, near: 32 });
-    assert_eq!(world.core.keep(key), 1, "none kept");
+    assert_eq!((limits.in_region, world.core.idle_connection_limit(key)), (4, 2));
+    world.core.set_vms(Vms { all: 64, in_region: 32 });
+    assert_eq!(world.core.idle_connection_limit(key), 1, "none kept");
 }
 
 // 295 VMs share an upstream with 195 connections, the last of its service. When each VM kept the
@@ -316,8 +316,9 @@
         .services
         .insert("s0".into(), Service { connections: accepted, warmup: Warmup::default() });
     world.core.configure(&config);
-    world.core.set_vms(Vms { all, near });
-    let keep = |id: &str| world.core.keep(world.core.fleet.key(id).unwrap()) as u32;
+    world.core.set_vms(Vms { all, in_region: near });
+    let keep =
+        |id: &str| world.core.idle_connection_limit(world.core.fleet.key(id).unwrap()) as u32;
     let kept_total = near * keep("s0-near") + (all - near) * keep("s0-far");
     assert!(kept_total <= accepted, "{kept_total} of {accepted}");
 }
--- a/crates/tgw-forward/tests/load/mod.rs
+++ b/crates/tgw-forward/tests/load/mod.rs
@@ -6,7 +6,7 @@
 };
 use test_case::test_case;
 use tgw_clock::Millis;
-use tgw_forward::{fleet::Key, load::Load, upstream::Sign};
+use tgw_forward::{fleet::Key, load::Load, upstream::SendOutcome};
 use tgw_route::Safety;
 
 const USUAL_LOAD: Load = Load { running: 1, waiting: 0, slots: 4, pace: 1.0 };
@@ -27,12 +27,12 @@
 
 /// An upstream replies after `ms`.
 fn reply(world: &mut World, key: Key, ms: u64, load: Option<Load>) {
-    let ticket = world.core.fleet.send(world.now, key);
+    let ticket = world.core.fleet.record_send(world.now, key);
     world.now += Millis::new(ms);
     if let Some(load) = load {
-        world.core.fleet.loaded(world.now, key, load);
+        world.core.fleet.record_load(world.now, key, load);
     }
-    world.core.fleet.end(world.now, ticket, Sign::Reply);
+    world.core.fleet.record_outcome(world.now, ticket, SendOutcome::Reply);
 }
 
 fn chosen_upstream(world: &mut World) -> Key {
@@ -49,7 +49,7 @@
     let (mut world, slow, other) = two_upstreams();
     reply(&mut world, slow, 12, Some(Load { pace: 9.0, ..USUAL_LOAD }));
     assert_eq!(chosen_upstream(&mut world), other);
-    let report = world.core.fleet.tell(world.now, slow);
+    let report = world.core.fleet.take_report(world.now, slow);
     assert!(report.is_some(), "the upstream is reported to the other VMs of the region");
 }
 
@@ -58,7 +58,8 @@
 #[test]
 fn one_long_request_does_not_make_an_upstream_slow() {
     let (mut world, first, _) = two_upstreams();
-    let expected = |world: &World| world.core.fleet.get(first).unwrap().expected(world.now);
+    let expected =
+        |world: &World| world.core.fleet.get(first).unwrap().expected_latency_ms(world.now);
     let mut unreported = two_upstreams().0;
     reply(&mut unreported, first, 60, None);
     reply(&mut world, first, 60, Some(USUAL_LOAD));
@@ -69,7 +70,8 @@
 #[test]
 fn reported_load_decays() {
     let (mut world, slow, _) = two_upstreams();
-    let expected = |world: &World| world.core.fleet.get(slow).unwrap().expected(world.now);
+    let expected =
+        |world: &World| world.core.fleet.get(slow).unwrap().expected_latency_ms(world.now);
     let before = expected(&world);
     reply(&mut world, slow, 12, Some(Load { pace: 9.0, ..USUAL_LOAD }));
     world.advance(20_000);
@@ -86,7 +88,8 @@
     let mut unreported = two_upstreams().0;
     reply(&mut world, first, 12, Some(load));
     reply(&mut unreported, first, 12, None);
-    let expected = |world: &World| world.core.fleet.get(first).unwrap().expected(world.now);
+    let expected =
+        |world: &World| world.core.fleet.get(first).unwrap().expected_latency_ms(world.now);
     assert_eq!(expected(&world), expected(&unreported));
 }
 
@@ -94,10 +97,10 @@
 #[test]
 fn load_reported_before_send_does_not_apply() {
     let (mut world, first, _) = two_upstreams();
-    world.core.fleet.loaded(world.now, first, Load { pace: 9.0, ..USUAL_LOAD });
+    world.core.fleet.record_load(world.now, first, Load { pace: 9.0, ..USUAL_LOAD });
     world.advance(100);
-    let before = world.core.fleet.get(first).unwrap().expected(world.now);
+    let before = world.core.fleet.get(first).unwrap().expected_latency_ms(world.now);
     reply(&mut world, first, 12, None);
-    let after = world.core.fleet.get(first).unwrap().expected(world.now);
+    let after = world.core.fleet.get(first).unwrap().expected_latency_ms(world.now);
     assert!(after <= before + 1.0);
 }
--- a/crates/tgw-forward/tests/margin/mod.rs
+++ b/crates/tgw-forward/tests/margin/mod.rs
@@ -25,7 +25,7 @@
 fn answers_leave_in_time_despite_late_wakeups() {
     let mut margin = Margin::default();
     let mut delay = wakeup_delays(9);
-    (0..2_000).for_each(|_| margin.fired(delay()));
+    (0..2_000).for_each(|_| margin.record_timer_delay(delay()));
     let aim = Millis::new(100);
     let late = (0..2_000).filter(|_| {
         let leaves = aim - margin.lead_time(false);
@@ -45,11 +45,11 @@
 fn margin_shrinks_after_a_slow_phase() {
     let mut margin = Margin::default();
     let mut calm = wakeup_delays(0);
-    (0..5_000).for_each(|_| margin.fired(calm()));
+    (0..5_000).for_each(|_| margin.record_timer_delay(calm()));
     let before = margin.lead_time(false);
-    (0..100).for_each(|_| margin.fired(Millis::new(20)));
+    (0..100).for_each(|_| margin.record_timer_delay(Millis::new(20)));
     assert!(margin.lead_time(false) > before + Millis::new(30));
-    (0..5_000).for_each(|_| margin.fired(calm()));
+    (0..5_000).for_each(|_| margin.record_timer_delay(calm()));
     assert!(margin.lead_time(false) <= before + Millis::new(1));
 }
 
@@ -68,7 +68,7 @@
 #[test]
 fn margin_takes_at_most_half_of_latency_target() {
     let mut world = World::new(4);
-    (0..200).for_each(|_| world.core.margin.fired(Millis::new(1_000)));
+    (0..200).for_each(|_| world.core.margin.record_timer_delay(Millis::new(1_000)));
     let route = route(shards(4), Safety::Idempotent);
     world.start(&route);
     (0..3).for_each(|index| assert!(world.reply(index, &record(1)).is_none()));
--- a/crates/tgw-forward/tests/merge/mod.rs
+++ b/crates/tgw-forward/tests/merge/mod.rs
@@ -2,7 +2,7 @@
 
 use crate::world::record;
 use proptest::prelude::*;
-use tgw_forward::merge::{self, Cut};
+use tgw_forward::merge::{self, PartLimits};
 
 #[test]
 fn merges_the_greatest_records_of_all_parts() {
@@ -25,7 +25,7 @@
         let bytes = |records: &Vec<u8>| records.iter().flat_map(|r| record(*r)).collect::<Vec<u8>>();
         let complete: Vec<Vec<u8>> = parts.iter().map(bytes).collect();
         let (received, requested) = complete.split_at(known.min(complete.len()));
-        let limits = Cut::for_answer(received.iter().map(Vec::as_slice), limit);
+        let limits = PartLimits::for_answer(received.iter().map(Vec::as_slice), limit);
         let limited_parts: Vec<Vec<u8>> = requested.iter().map(|part| limits.apply(part)).collect();
         let all = received.iter().chain(&limited_parts).map(Vec::as_slice);
         let merged = merge::greatest(all, limit);
@@ -36,10 +36,10 @@
 #[test]
 fn records_below_floor_are_left_out() {
     let received = [record(9), record(7), record(5)].concat();
-    let limits = Cut::for_answer(std::iter::once(&received[..]), 2);
+    let limits = PartLimits::for_answer(std::iter::once(&received[..]), 2);
     assert_eq!(limits.floor, Some(record(7)));
     let part = [record(3), record(8), record(7), record(6)].concat();
     assert_eq!(limits.apply(&part), [record(8), record(7)].concat());
-    let unlimited = Cut::for_answer(std::iter::once(&received[..]), 4);
+    let unlimited = PartLimits::for_answer(std::iter::once(&received[..]), 4);
     assert_eq!((unlimited.floor, unlimited.apply(&part).len()), (None, 64));
 }
--- a/crates/tgw-forward/tests/peers/mod.rs
+++ b/crates/tgw-forward/tests/peers/mod.rs
@@ -8,10 +8,10 @@
 use tgw_clock::Millis;
 use tgw_forward::{
     Scope,
-    core::{Budget, Vms, Way},
+    core::{Budget, SendMode, Vms},
     fleet::Hop,
-    plan::{Answer, Ended, Why},
-    upstream::Sign,
+    plan::{Answer, SendResult, Trigger},
+    upstream::SendOutcome,
 };
 use tgw_route::{Safety, Target};
 
@@ -22,7 +22,7 @@
 #[test_case("r2", &one_service(), Hop::Direct; "a reply forwarded unchanged")]
 fn parts_from_other_regions_come_through_peers(peer_region: &str, target: &Target, expected: Hop) {
     let mut world = World::new(1);
-    world.core.fleet.set_manned([peer_region.into()].into());
+    world.core.fleet.set_peer_regions([peer_region.into()].into());
     world.start(&route(target.clone(), Safety::Idempotent));
     world.wake();
     assert_eq!((&*world.upstream(1), world.orders[1].hop), ("s0-far", expected));
@@ -32,11 +32,11 @@
 fn sends_through_peers_to_one_upstream_are_limited() {
     let mut world = World::new(1);
     world.core.fleet.remove("s0-near");
-    world.core.fleet.set_manned(["r2".into()].into());
-    let limits = world.core.most("s0", Way::Peers);
+    world.core.fleet.set_peer_regions(["r2".into()].into());
+    let limits = world.core.send_limits("s0", SendMode::Peers);
     let mut sends = 0;
     while let Some(choice) = world.core.fleet.pick(world.now, "s0", limits, &[], Scope::default()) {
-        world.core.fleet.send(world.now, choice.key);
+        world.core.fleet.record_send(world.now, choice.key);
         sends += 1;
     }
     assert_eq!(sends, limits.peer);
@@ -60,15 +60,15 @@
 #[test]
 fn fallback_send_goes_to_last_upstream() {
     let mut world = World::new(1);
-    world.core.fleet.set_manned(["r2".into()].into());
+    world.core.fleet.set_peer_regions(["r2".into()].into());
     world.start(&route(shards(1), Safety::Idempotent));
     world.wake();
-    assert_eq!((&*world.upstream(1), world.orders[1].insist), ("s0-far", false));
-    assert!(world.end(1, Ended::Busy, Sign::Busy).is_none());
-    assert_eq!((&*world.upstream(2), world.orders[2].insist), ("s0-far", true));
+    assert_eq!((&*world.upstream(1), world.orders[1].fallback), ("s0-far", false));
+    assert!(world.end(1, SendResult::PeerRefused, SendOutcome::PeerRefused).is_none());
+    assert_eq!((&*world.upstream(2), world.orders[2].fallback), ("s0-far", true));
     world.core.fleet.put(world.now, entry("s0-third", "s0", FAR));
-    world.end(2, Ended::Busy, Sign::Busy);
-    assert_eq!((&*world.upstream(3), world.orders[3].insist), ("s0-third", false));
+    world.end(2, SendResult::PeerRefused, SendOutcome::PeerRefused);
+    assert_eq!((&*world.upstream(3), world.orders[3].fallback), ("s0-third", false));
 }
 
 // All connections of a shard's upstreams are briefly in use when a query arrives. Its other parts
@@ -77,15 +77,15 @@
 fn part_without_connection_is_deferred_while_answer_waits() {
     let mut world = World::new(4);
     world.core.fleet.remove("s0-far");
-    world.core.set_vms(Vms { all: 32, near: 32 });
-    let limits = world.core.most("s0", Way::Peers);
+    world.core.set_vms(Vms { all: 32, in_region: 32 });
+    let limits = world.core.send_limits("s0", SendMode::Peers);
     let key = world.core.fleet.pick(world.now, "s0", limits, &[], Scope::default()).unwrap().key;
-    let busy = world.core.fleet.send(world.now, key);
+    let busy = world.core.fleet.record_send(world.now, key);
     world.start(&route(shards(4), Safety::Idempotent));
     assert_eq!(world.orders.len(), 3);
-    world.core.fleet.end(world.now, busy, Sign::Reply);
+    world.core.fleet.record_outcome(world.now, busy, SendOutcome::Reply);
     assert!(world.wake().is_none());
-    assert_eq!((&*world.upstream(3), world.orders[3].why), ("s0-near", Why::First));
+    assert_eq!((&*world.upstream(3), world.orders[3].trigger), ("s0-near", Trigger::First));
     let answers: Vec<_> = (0..4).filter_map(|index| world.reply(index, &record(1))).collect();
     assert!(matches!(answers[..], [Answer::Merged { missing: 0, .. }]), "{answers:?}");
 }
@@ -96,10 +96,10 @@
 fn deferred_part_does_not_delay_answer_beyond_latency_target() {
     let mut world = World::new(4);
     world.core.fleet.remove("s0-far");
-    world.core.set_vms(Vms { all: 32, near: 32 });
-    let limits = world.core.most("s0", Way::Peers);
+    world.core.set_vms(Vms { all: 32, in_region: 32 });
+    let limits = world.core.send_limits("s0", SendMode::Peers);
     let key = world.core.fleet.pick(world.now, "s0", limits, &[], Scope::default()).unwrap().key;
-    world.core.fleet.send(world.now, key);
+    world.core.fleet.record_send(world.now, key);
     world.start(&route(shards(4), Safety::Idempotent));
     for index in 0..3 {
         assert!(world.reply(index, &record(1)).is_none());
@@ -125,15 +125,15 @@
 #[test]
 fn unsent_request_is_not_charged_to_budget() {
     let mut world = World::with_budget(1, Budget { share: 0.0, constant: 10.0 });
-    world.core.set_vms(Vms { all: 1, near: 1 });
-    world.core.fleet.set_manned(["r2".into()].into());
+    world.core.set_vms(Vms { all: 1, in_region: 1 });
+    world.core.fleet.set_peer_regions(["r2".into()].into());
     for _ in 0..40 {
         world.start(&route(shards(1), Safety::Idempotent));
         world.wake();
-        assert_eq!(world.orders[1].why, Why::Hedge, "the budget is used up");
+        assert_eq!(world.orders[1].trigger, Trigger::Hedge, "the budget is used up");
         let mut index = 1;
         while index < world.orders.len() {
-            world.end(index, Ended::Busy, Sign::Busy);
+            world.end(index, SendResult::PeerRefused, SendOutcome::PeerRefused);
             index += 1;
         }
         world.reply(0, &[]);
@@ -159,10 +159,10 @@
         sender.reply(0, &[]);
     }
     let near = sender.core.fleet.key("s0-near").unwrap();
-    let (entry, report) = sender.core.fleet.tell(sender.now, near).unwrap();
-    assert!(!report.overdue && report.expected > 45.0, "{report:?}");
+    let (entry, report) = sender.core.fleet.take_report(sender.now, near).unwrap();
+    assert!(!report.overdue && report.expected_latency_ms > 45.0, "{report:?}");
     receiver.advance(800);
-    receiver.core.fleet.told(receiver.now, &entry.id, entry.started, report);
+    receiver.core.fleet.apply_report(receiver.now, &entry.id, entry.started, report);
     receiver.start(&route);
     assert_eq!(&*receiver.upstream(0), "s0-far");
 }
@@ -174,11 +174,11 @@
     let mut world = World::new(1);
     world.core.fleet.remove("s0-near");
     world.core.fleet.put(world.now, entry("s0-second", "s0", FAR));
-    world.core.fleet.set_manned(["r2".into()].into());
+    world.core.fleet.set_peer_regions(["r2".into()].into());
     world.start(&route(shards(1), Safety::Idempotent));
     world.wake();
     let (first, second) = (world.upstream(0), world.upstream(1));
     assert_ne!(first, second);
-    world.end(0, Ended::Busy, Sign::Busy);
-    assert_eq!((world.upstream(2), world.orders[2].insist), (first, true));
+    world.end(0, SendResult::PeerRefused, SendOutcome::PeerRefused);
+    assert_eq!((world.upstream(2), world.orders[2].fallback), (first, true));
 }
--- a/crates/tgw-forward/tests/quarantine/mod.rs
+++ b/crates/tgw-forward/tests/quarantine/mod.rs
@@ -5,8 +5,8 @@
 use tgw_clock::Millis;
 use tgw_forward::{
     Policy,
-    plan::{Answer, Cause, Ended, Why},
-    upstream::Sign,
+    plan::{Answer, Cause, SendResult, Trigger},
+    upstream::SendOutcome,
 };
 use tgw_quarantine::{
     ledger::name,
@@ -15,7 +15,7 @@
 use tgw_route::{Safety, Target};
 
 fn terminate(world: &mut World, index: usize) -> Option<Answer> {
-    world.end(index, Ended::Gone, Sign::Broken)
+    world.end(index, SendResult::Terminated, SendOutcome::Broken)
 }
 
 /// Another VM reports that an upstream of `service` terminated under the requests of this world.
@@ -68,7 +68,7 @@
     assert!(world.reply(4, &record(1)).is_none());
     assert_eq!(world.orders.len(), 8);
     for index in 5..8 {
-        assert!(world.orders[index].why == Why::Retry);
+        assert!(world.orders[index].trigger == Trigger::Retry);
     }
     assert!(world.reply(5, &record(2)).is_none());
     assert!(world.reply(6, &record(3)).is_none());
@@ -98,7 +98,7 @@
     for index in 0..3 {
         terminate(&mut world, index);
     }
-    world.end(3, answered(504, Some("seal"), &[]), Sign::Failure);
+    world.end(3, answered(504, Some("seal"), &[]), SendOutcome::Failure);
     assert_eq!(world.orders.len(), 5);
     terminate(&mut world, 4);
     assert_eq!(world.orders.len(), 6);
@@ -111,7 +111,7 @@
     let mut world = World::new(4);
     world.start(&route(shards(4), Safety::Idempotent));
     for index in 0..4 {
-        world.end(index, Ended::Broken, Sign::Broken);
+        world.end(index, SendResult::Broken, SendOutcome::Broken);
         assert_eq!(world.orders.len(), 5 + index);
     }
 }
--- a/crates/tgw-forward/tests/residency/mod.rs
+++ b/crates/tgw-forward/tests/residency/mod.rs
@@ -12,8 +12,8 @@
     core::Vms,
     fleet::Hop,
     hosting::{Refusal, Request},
-    plan::{Answer, Cause, Ended},
-    upstream::Sign,
+    plan::{Answer, Cause, SendResult},
+    upstream::SendOutcome,
 };
 use tgw_route::{Config, Residency, Route, Safety, Service, Target, Warmup, config::Shards};
 
@@ -54,16 +54,16 @@
 // A send at home is late, broken, declined or refused by a peer, and the only other upstream is in
 // a foreign region.
 #[test_case(None; "late")]
-#[test_case(Some((Ended::Broken, Sign::Broken)); "broken")]
-#[test_case(Some((Ended::Declined, Sign::Shed)); "declined")]
-#[test_case(Some((Ended::Busy, Sign::Busy)); "refused by a peer")]
-#[test_case(Some((Ended::Unsent, Sign::Unreachable)); "unreachable")]
-fn no_further_send_leaves_the_home_regions(ended: Option<(Ended, Sign)>) {
+#[test_case(Some((SendResult::Broken, SendOutcome::Broken)); "broken")]
+#[test_case(Some((SendResult::Declined, SendOutcome::Shed)); "declined")]
+#[test_case(Some((SendResult::PeerRefused, SendOutcome::PeerRefused)); "refused by a peer")]
+#[test_case(Some((SendResult::NotConnected, SendOutcome::Unreachable)); "unreachable")]
+fn no_further_send_leaves_the_home_regions(result: Option<(SendResult, SendOutcome)>) {
     let mut world = World::new(1);
-    world.core.fleet.set_manned(["r2".into()].into());
+    world.core.fleet.set_peer_regions(["r2".into()].into());
     world.start(&route_with_homes(shards(1), Safety::Idempotent, &["r2"]));
-    if let Some((ended, outcome)) = ended {
-        world.end(0, ended, outcome);
+    if let Some((result, outcome)) = result {
+        world.end(0, result, outcome);
     }
     world.run_to_answer();
     let sent: Vec<_> = (0..world.orders.len()).map(|order| world.upstream(order)).collect();
@@ -88,7 +88,7 @@
     let hosted = Request {
         upstream: "s0-far",
         started: 0,
-        insist: true,
+        fallback: true,
         lent: false,
         route: Some(&unrestricted),
     };
@@ -156,8 +156,8 @@
                 entry(&format!("x{number}"), &format!("s{service}"), domain),
             );
         }
-        world.core.set_vms(Vms { all: near + 3, near });
-        world.core.fleet.set_manned(peer_regions.iter().map(|region| (*region).into()).collect());
+        world.core.set_vms(Vms { all: near + 3, in_region: near });
+        world.core.fleet.set_peer_regions(peer_regions.iter().map(|region| (*region).into()).collect());
         let target = if single { one_service() } else { search(shard_count) };
         let safety = if single && once { Safety::Once } else { Safety::Idempotent };
         let first = route_with_homes(target.clone(), safety, &arrived);
@@ -182,12 +182,12 @@
                 continue;
             };
             let (end, outcome) = match how {
-                0 => (answered(200, Some(&format!("seal-{order}")), &[]), Sign::Reply),
-                1 => (Ended::Declined, Sign::Shed),
-                2 => (Ended::Broken, Sign::Broken),
-                3 => (Ended::Busy, Sign::Busy),
-                4 => (Ended::Unsent, Sign::Unreachable),
-                5 => (Ended::Silent, Sign::Silent),
+                0 => (answered(200, Some(&format!("seal-{order}")), &[]), SendOutcome::Reply),
+                1 => (SendResult::Declined, SendOutcome::Shed),
+                2 => (SendResult::Broken, SendOutcome::Broken),
+                3 => (SendResult::PeerRefused, SendOutcome::PeerRefused),
+                4 => (SendResult::NotConnected, SendOutcome::Unreachable),
+                5 => (SendResult::TimedOut, SendOutcome::TimedOut),
                 _ => {
                     answer = world.wake();
                     continue;
--- a/crates/tgw-forward/tests/restart/mod.rs
+++ b/crates/tgw-forward/tests/restart/mod.rs
@@ -5,8 +5,8 @@
 use tgw_clock::Millis;
 use tgw_forward::{
     Catalog,
-    plan::{Answer, Cause, Ended},
-    upstream::{Entry, Sign, Word},
+    plan::{Answer, Cause, SendResult},
+    upstream::{Entry, PeerReport, SendOutcome},
 };
 use tgw_route::{Safety, Target};
 
@@ -48,7 +48,7 @@
     world.core.fleet.put(world.now, incarnation(100));
     world.start(&route);
     world.core.fleet.put(world.now, incarnation(200));
-    let answer = world.end(0, Ended::Broken, Sign::Unreachable);
+    let answer = world.end(0, SendResult::Broken, SendOutcome::Unreachable);
     assert!(matches!(answer, Some(Answer::Failed(Cause::UpstreamsFailed))), "{answer:?}");
     world.start(&route);
     assert_eq!(&*world.upstream(0), "s0-near");
@@ -56,15 +56,15 @@
 
 // An upstream accepts an order, terminates before its reply, and restarts under its identity. The
 // order may have been executed: it is neither sent to the new process nor reported as not executed.
-#[test_case(Ended::Broken; "reset")]
-#[test_case(Ended::Silent; "silent")]
-fn possibly_executed_order_is_not_sent_to_new_process(ended: Ended) {
+#[test_case(SendResult::Broken; "reset")]
+#[test_case(SendResult::TimedOut; "silent")]
+fn possibly_executed_order_is_not_sent_to_new_process(result: SendResult) {
     let mut world = World::new(1);
     world.core.fleet.put(world.now, incarnation(100));
     world.start(&route(one_service(), Safety::Once));
     assert_eq!(&*world.upstream(0), "s0-near");
     world.core.fleet.put(world.now, incarnation(200));
-    let answer = world.end(0, ended, Sign::Broken);
+    let answer = world.end(0, result, SendOutcome::Broken);
     assert!(matches!(answer, Some(Answer::Failed(Cause::UpstreamsFailed))), "{answer:?}");
     assert_eq!(world.orders.len(), 1);
 }
@@ -77,7 +77,7 @@
     world.core.fleet.put(world.now, incarnation(100));
     world.start(&route(shards(1), Safety::Idempotent));
     world.core.fleet.put(world.now, incarnation(200));
-    assert!(world.end(0, Ended::Broken, Sign::Broken).is_none());
+    assert!(world.end(0, SendResult::Broken, SendOutcome::Broken).is_none());
     assert_eq!(world.orders.len(), 2);
     assert!(matches!(world.reply(1, &[]), Some(Answer::Merged { missing: 0, .. })));
 }
@@ -109,10 +109,10 @@
 fn upstream_restarted_during_outage_is_kept() {
     let mut world = World::new(1);
     let (mut catalog, fleet) = (Catalog::default(), &mut world.core.fleet);
-    catalog.listed(Millis::ZERO, vec![incarnation(100)], &[], fleet);
-    catalog.lost(Millis::new(4_900));
-    catalog.listed(Millis::new(5_000), vec![], &[], fleet);
-    catalog.changed(Millis::new(5_500), incarnation(200), fleet);
+    catalog.apply_list(Millis::ZERO, vec![incarnation(100)], &[], fleet);
+    catalog.record_store_failure(Millis::new(4_900));
+    catalog.apply_list(Millis::new(5_000), vec![], &[], fleet);
+    catalog.apply_write(Millis::new(5_500), incarnation(200), fleet);
     assert!(catalog.tick(Millis::new(9_000), fleet).is_empty());
     assert_eq!(near_entry(&world), incarnation(200));
 }
@@ -123,8 +123,8 @@
 fn report_about_previous_process_is_ignored() {
     let mut world = World::new(1);
     world.core.fleet.put(world.now, incarnation(200));
-    let report = Word { overdue: true, expected: 400.0 };
-    world.core.fleet.told(world.now, "s0-near", 100, report);
+    let report = PeerReport { overdue: true, expected_latency_ms: 400.0 };
+    world.core.fleet.apply_report(world.now, "s0-near", 100, report);
     world.start(&route(one_service(), Safety::Idempotent));
     assert_eq!(&*world.upstream(0), "s0-near");
 }
@@ -135,9 +135,9 @@
 fn unreadable_entry_is_not_retained() {
     let mut world = World::new(1);
     let (mut catalog, fleet) = (Catalog::default(), &mut world.core.fleet);
-    catalog.listed(Millis::ZERO, vec![incarnation(100)], &[], fleet);
-    catalog.lost(Millis::new(4_900));
-    catalog.listed(Millis::new(5_000), vec![], &["s0-near".into()], fleet);
+    catalog.apply_list(Millis::ZERO, vec![incarnation(100)], &[], fleet);
+    catalog.record_store_failure(Millis::new(4_900));
+    catalog.apply_list(Millis::new(5_000), vec![], &["s0-near".into()], fleet);
     assert_eq!(fleet.key("s0-near"), None);
-    assert_eq!(catalog.doubts().count(), 0);
+    assert_eq!(catalog.retentions().count(), 0);
 }
--- a/crates/tgw-forward/tests/warmup/mod.rs
+++ b/crates/tgw-forward/tests/warmup/mod.rs
@@ -13,42 +13,42 @@
 use tgw_clock::Millis;
 use tgw_forward::{
     Scope,
-    core::Way,
+    core::SendMode,
     fleet::{Choice, Hop},
     hosting::{Refusal, Request},
-    plan::{Answer, Cause, Ended},
-    upstream::{Entry, Sign},
-    warmup::{Excess, LeaseTerms, REMEMBERED, Roster, Seat},
+    plan::{Answer, Cause, SendResult},
+    upstream::{Entry, SendOutcome},
+    warmup::{Candidate, Candidates, DEAD_VM_LEASE_RETENTION_MS, Headroom, LeaseTerms},
 };
 use tgw_route::{Config, Safety, Service, Warmup};
 
-const HEADROOM: Excess = Excess { factor: 1.5, constant: 5.0 };
+const HEADROOM: Headroom = Headroom { factor: 1.5, constant: 5.0 };
 const WANTED_REQUESTS: usize = 50;
 const WARMUP_MS: Millis = Millis::new(3_000);
 
-fn candidate(vm: u64) -> Seat {
+fn candidate(vm: u64) -> Candidate {
     let addr = SocketAddr::from((Ipv4Addr::new(10, 0, 0, vm as u8), 1));
-    Seat { vm, addr, dead_until: None }
+    Candidate { vm, addr, dead_until: None }
 }
 
-fn roster(own: u64, near: &[Seat]) -> Roster {
-    let domains: BTreeMap<Rc<str>, Vec<Seat>> =
+fn candidate_set(own: u64, near: &[Candidate]) -> Candidates {
+    let domains: BTreeMap<Rc<str>, Vec<Candidate>> =
         [(NEAR.into(), near.to_vec()), (FAR.into(), vec![candidate(9)])].into();
-    Roster::new(own, domains)
+    Candidates::new(own, domains)
 }
 
 /// A VM with recent contact to its peers, and a service whose upstreams accept `rate` requests a
 /// second while cold.
-fn world_with_rate(rate: f64, own: u64, near: &[Seat]) -> World {
+fn world_with_rate(rate: f64, own: u64, near: &[Candidate]) -> World {
     let mut world = World::new(1);
     let warmup = Warmup { span: WARMUP_MS, rate };
     let mut config = Config::default();
     config.services.insert("s0".into(), Service { connections: 73, warmup });
-    world.core.set_excess(HEADROOM);
+    world.core.set_headroom(HEADROOM);
     world.core.configure(&config);
-    world.core.fleet.set_manned(["r2".into()].into());
-    world.core.fleet.set_roster(roster(own, near));
-    world.core.fleet.heard(world.now);
+    world.core.fleet.set_peer_regions(["r2".into()].into());
+    world.core.fleet.set_candidates(candidate_set(own, near));
+    world.core.fleet.record_contact(world.now);
     world
 }
 
@@ -59,7 +59,7 @@
 }
 
 fn pick(world: &World) -> Option<Choice> {
-    let limits = world.core.most("s0", Way::Peers);
+    let limits = world.core.send_limits("s0", SendMode::Peers);
     world.core.fleet.pick(world.now, "s0", limits, &[], Scope::default())
 }
 
@@ -68,12 +68,12 @@
     let mut count = 0;
     for _ in 0..WANTED_REQUESTS {
         let Some(choice) = pick(world).filter(|choice| choice.hop == Hop::Direct) else { break };
-        let ticket = world.core.fleet.send(world.now, choice.key);
-        if !world.core.clear(world.now, None, ticket) {
+        let ticket = world.core.fleet.record_send(world.now, choice.key);
+        if !world.core.authorize_write(world.now, None, ticket) {
             break;
         }
-        world.core.fleet.opened(choice.key);
-        world.core.fleet.end(world.now, ticket, Sign::Dropped);
+        world.core.fleet.connection_opened(choice.key);
+        world.core.fleet.record_outcome(world.now, ticket, SendOutcome::Abandoned);
         count += 1;
     }
     count
@@ -95,7 +95,7 @@
     make_cold(&mut world);
     assert_eq!(count_writes(&mut world), 1);
     world.advance(2_900);
-    world.core.fleet.heard(world.now);
+    world.core.fleet.record_contact(world.now);
     assert_eq!(count_writes(&mut world), 0);
 }
 
@@ -111,7 +111,9 @@
         let choice = pick(&world).unwrap();
         match choice.hop {
             Hop::Direct => direct.push(own),
-            Hop::Peer => through.push(world.core.fleet.through(world.now, choice.key).unwrap().vm),
+            Hop::Peer => {
+                through.push(world.core.fleet.lease_holder(world.now, choice.key).unwrap().vm);
+            }
         }
     }
     assert_eq!((direct.len(), through.len()), (1, 2));
@@ -127,10 +129,10 @@
     world.advance(900);
     assert_eq!(count_writes(&mut world), 0);
     world.advance(101);
-    world.core.fleet.heard(world.now);
+    world.core.fleet.record_contact(world.now);
     assert_eq!(count_writes(&mut world), 4);
     let hosted =
-        Request { upstream: "s0-near", started: 0, insist: true, lent: false, route: None };
+        Request { upstream: "s0-near", started: 0, fallback: true, lent: false, route: None };
     assert_eq!(world.core.host(world.now, hosted), Err(Refusal::Busy));
     world.advance(WARMUP_MS.whole());
     assert_eq!(count_writes(&mut world), WANTED_REQUESTS, "it is warm");
@@ -142,10 +144,11 @@
     let mut world = world_with_rate(4.0, 1, &[candidate(1)]);
     make_cold(&mut world);
     let key = pick(&world).unwrap().key;
-    let tickets: Vec<_> = (0..9).map(|_| world.core.fleet.send(world.now, key)).collect();
+    let tickets: Vec<_> = (0..9).map(|_| world.core.fleet.record_send(world.now, key)).collect();
     assert_eq!(pick(&world), None);
     world.advance(200);
-    let written = tickets.iter().filter(|t| world.core.clear(world.now, None, **t)).count();
+    let written =
+        tickets.iter().filter(|t| world.core.authorize_write(world.now, None, **t)).count();
     assert_eq!(written, 4);
 }
 
@@ -155,12 +158,12 @@
 fn vm_without_contact_or_majority_sends_nothing(live: &[u64], dead: &[u64], elapsed_ms: u64) {
     let mut world = world_with_rate(4.0, 1, &[]);
     let until = Some(world.now);
-    let dead_vms = dead.iter().map(|vm| Seat { dead_until: until, ..candidate(*vm) });
-    let candidates: Vec<Seat> = live.iter().map(|vm| candidate(*vm)).chain(dead_vms).collect();
+    let dead_vms = dead.iter().map(|vm| Candidate { dead_until: until, ..candidate(*vm) });
+    let candidates: Vec<Candidate> = live.iter().map(|vm| candidate(*vm)).chain(dead_vms).collect();
     for own in live {
-        world.core.fleet.set_roster(roster(*own, &candidates));
+        world.core.fleet.set_candidates(candidate_set(*own, &candidates));
         make_cold(&mut world);
-        world.core.fleet.heard(world.now);
+        world.core.fleet.record_contact(world.now);
         world.now += Millis::new(elapsed_ms);
         assert_eq!(count_writes(&mut world), 0);
     }
@@ -169,7 +172,7 @@
 #[test]
 fn vm_without_roster_sends_nothing() {
     let mut world = world_with_rate(4.0, 1, &[]);
-    world.core.fleet.set_roster(Roster::default());
+    world.core.fleet.set_candidates(Candidates::default());
     make_cold(&mut world);
     assert_eq!(count_writes(&mut world), 0);
 }
@@ -188,15 +191,15 @@
     for own in (1..=3).filter(|own| *own != holder) {
         let mut world = world_with_rate(4.0, own, &candidates);
         make_cold(&mut world);
-        let until = Some(world.now + REMEMBERED);
+        let until = Some(world.now + DEAD_VM_LEASE_RETENTION_MS);
         let candidates = candidates.clone().map(|candidate| match candidate.vm == holder {
-            true => Seat { dead_until: until, ..candidate },
+            true => Candidate { dead_until: until, ..candidate },
             false => candidate,
         });
-        world.core.fleet.set_roster(roster(own, &candidates));
+        world.core.fleet.set_candidates(candidate_set(own, &candidates));
         assert_eq!(count_writes(&mut world), 0);
-        world.now += REMEMBERED;
-        world.core.fleet.heard(world.now);
+        world.now += DEAD_VM_LEASE_RETENTION_MS;
+        world.core.fleet.record_contact(world.now);
         took_over += usize::from(count_writes(&mut world) > 0);
     }
     assert_eq!(took_over, 1);
@@ -214,8 +217,8 @@
         world.core.fleet.set_evacuated(world.now, [].into());
     } else {
         let key = pick(&world).unwrap().key;
-        let ticket = world.core.fleet.send(world.now, key);
-        world.core.fleet.end(world.now, ticket, Sign::Silent);
+        let ticket = world.core.fleet.record_send(world.now, key);
+        world.core.fleet.record_outcome(world.now, ticket, SendOutcome::TimedOut);
     }
     assert_eq!(count_writes(&mut world), 4);
 }
@@ -231,7 +234,7 @@
         let holds = pick(&world).is_some_and(|choice| choice.hop == Hop::Direct);
         world.start(&route(shards(1), Safety::Idempotent));
         assert_eq!(world.orders[0].hop == Hop::Direct, holds);
-        world.end(0, Ended::Busy, Sign::Busy);
+        world.end(0, SendResult::PeerRefused, SendOutcome::PeerRefused);
         let answer = world.start(&route(one_service(), Safety::Once));
         let refused = matches!(answer, Some(Answer::Refused { cause: Cause::Cold, .. }));
         assert_eq!(refused, !holds, "{answer:?}");
@@ -246,7 +249,7 @@
     for own in [1, 9] {
         let mut world = world_with_rate(4.0, own, &[]);
         let domains = [(FAR.into(), vec![candidate(9)])].into();
-        world.core.fleet.set_roster(Roster::new(own, domains));
+        world.core.fleet.set_candidates(Candidates::new(own, domains));
         make_cold(&mut world);
         assert_eq!(pick(&world).map(|choice| choice.hop), (own == 9).then_some(Hop::Direct));
     }
@@ -265,7 +268,7 @@
 #[test]
 fn without_rate_limit_every_vm_sends() {
     let mut world = world_with_rate(0.0, 1, &[]);
-    world.core.fleet.set_roster(Roster::default());
+    world.core.fleet.set_candidates(Candidates::default());
     make_cold(&mut world);
     assert_eq!(count_writes(&mut world), WANTED_REQUESTS);
 }
--- a/crates/tgw-forward/tests/window/mod.rs
+++ b/crates/tgw-forward/tests/window/mod.rs
@@ -5,8 +5,8 @@
 use tgw_forward::{
     Window,
     core::{Budget, Vms},
-    plan::Ended,
-    upstream::Sign,
+    plan::SendResult,
+    upstream::SendOutcome,
 };
 use tgw_route::{Safety, Target};
 
@@ -41,7 +41,7 @@
 #[test]
 fn hedges_leave_budget_for_retries() {
     let mut world = World::with_budget(1, Budget { share: 0.0, constant: 16.0 * 8.0 });
-    world.core.set_vms(Vms { all: 8, near: 1 });
+    world.core.set_vms(Vms { all: 8, in_region: 1 });
     let route = route(one_service(), Safety::Idempotent);
     let mut hedged = 0;
     for _ in 0..20 {
@@ -54,6 +54,6 @@
     }
     assert!((8..14).contains(&hedged), "{hedged} hedges");
     world.start(&route);
-    world.end(0, Ended::Broken, Sign::Broken);
+    world.end(0, SendResult::Broken, SendOutcome::Broken);
     assert_eq!(world.orders.len(), 2, "no budget for a retry");
 }
--- a/crates/tgw-forward/tests/world/mod.rs
+++ b/crates/tgw-forward/tests/world/mod.rs
@@ -11,8 +11,8 @@
     Core, Plan, Policy,
     core::Budget,
     fleet::{Key, Place},
-    plan::{Answer, Ended, Event, Options, Order, Response},
-    upstream::{Entry, Sign},
+    plan::{Answer, Event, Options, Response, SendOrder, SendResult},
+    upstream::{Entry, SendOutcome},
 };
 use tgw_quarantine::Fingerprint;
 use tgw_route::{Config, Residency, Route, Safety, Service, Target, Warmup, config::Shards};
@@ -56,7 +56,7 @@
 pub(crate) struct World {
     pub(crate) core: Core,
     pub(crate) now: Millis,
-    pub(crate) orders: Vec<Order>,
+    pub(crate) orders: Vec<SendOrder>,
     /// Fingerprint of the requests that are started.
     pub(crate) fingerprint: Fingerprint,
     plan: Option<Plan>,
@@ -108,8 +108,13 @@
 
     pub(crate) fn start(&mut self, route: &Rc<Route>) -> Option<Answer> {
         let print = self.fingerprint;
-        let options =
-            Options { route: route.clone(), patience: None, opened: false, spread: 0, print };
+        let options = Options {
+            route: route.clone(),
+            caller_timeout: None,
+            new_connection: false,
+            retry_spread: 0,
+            fingerprint: print,
+        };
         self.plan = Some(Plan::new(self.now, &options));
         self.orders.clear();
         self.on(Event::Start)
@@ -128,7 +133,7 @@
     }
 
     fn wake_once(&mut self) -> Option<Answer> {
-        self.now = self.plan.as_ref().unwrap().wake(self.now);
+        self.now = self.plan.as_ref().unwrap().next_wakeup(self.now);
         self.tick()
     }
 
@@ -142,20 +147,26 @@
     }
 
     /// Ends the order at `index` of all so far.
-    pub(crate) fn end(&mut self, index: usize, ended: Ended, outcome: Sign) -> Option<Answer> {
+    pub(crate) fn end(
+        &mut self,
+        index: usize,
+        result: SendResult,
+        outcome: SendOutcome,
+    ) -> Option<Answer> {
         let order = self.orders[index].clone();
-        self.core.fleet.end(self.now, order.ticket, outcome);
-        self.on(Event::Ended { part: order.part, upstream: order.ticket.upstream, ended })
+        self.core.fleet.record_outcome(self.now, order.ticket, outcome);
+        self.on(Event::SendEnded { part: order.part, upstream: order.ticket.upstream, result })
     }
 
     pub(crate) fn reply(&mut self, index: usize, records: &[u8]) -> Option<Answer> {
         let signature = format!("seal-{index}");
-        self.end(index, answered(200, Some(&signature), records), Sign::Reply)
+        self.end(index, answered(200, Some(&signature), records), SendOutcome::Reply)
     }
 
     pub(crate) fn on(&mut self, event: Event) -> Option<Answer> {
         let mut orders = Vec::new();
-        let answer = self.plan.as_mut().unwrap().on(self.now, event, &mut self.core, &mut orders);
+        let answer =
+            self.plan.as_mut().unwrap().handle(self.now, event, &mut self.core, &mut orders);
         self.orders.extend(orders);
         answer
     }
@@ -169,11 +180,11 @@
     }
 }
 
-pub(crate) fn answered(status: u16, signature: Option<&str>, body: &[u8]) -> Ended {
-    Ended::Answered(Box::new(Response {
+pub(crate) fn answered(status: u16, signature: Option<&str>, body: &[u8]) -> SendResult {
+    SendResult::Answered(Box::new(Response {
         status: StatusCode::from_u16(status).unwrap(),
         headers: HeaderMap::new(),
-        seal: signature.map(|s| HeaderValue::from_str(s).unwrap()),
+        signature: signature.map(|s| HeaderValue::from_str(s).unwrap()),
         load: None,
         body: Bytes::copy_from_slice(body),
     }))
--- a/crates/tgw-gateway/src/broken.rs
+++ b/crates/tgw-gateway/src/broken.rs
@@ -72,8 +72,8 @@
     let ended = match connected {
         // The upstream is alive; the new connection replaces the broken one.
         Ok(connection) => {
-            let keep = shared.core.borrow().keep(key);
-            shared.pools.put(shared.now(), key, connection, None, keep);
+            let idle_limit = shared.core.borrow().idle_connection_limit(key);
+            shared.pools.put(shared.now(), key, connection, None, idle_limit);
             false
         }
         Err(error) => {
@@ -84,7 +84,7 @@
     };
     if ended {
         telemetry::upstream_ended(&shared, &entry, &sends);
-        shared.core.borrow_mut().fleet.lost(shared.now(), key);
+        shared.core.borrow_mut().fleet.mark_unreachable(shared.now(), key);
         sends.iter().for_each(|broken| quarantine::record_end(&shared, &entry, broken));
     }
     for broken in sends {
--- a/crates/tgw-gateway/src/exchange.rs
+++ b/crates/tgw-gateway/src/exchange.rs
@@ -13,9 +13,9 @@
 use tgw_clock::Millis;
 use tgw_forward::{
     fleet::{Hop, Ticket},
-    merge::Cut,
-    plan::{self, Ended},
-    upstream::{Entry, Sign},
+    merge::PartLimits,
+    plan::{self, SendResult},
+    upstream::{Entry, SendOutcome},
 };
 use tgw_quarantine::{Fingerprint, message::Seen};
 use tgw_route::Route;
@@ -58,10 +58,10 @@
     /// up.
     pub(crate) host_charged: bool,
     /// Limits on how much of the reply the answer uses; `None` if it uses all of it.
-    pub(crate) part_limits: Option<Cut>,
+    pub(crate) part_limits: Option<PartLimits>,
     /// What was known at the start of the send about upstreams that ended under this request.
     pub(crate) seen: Seen,
-    outcome: Sign,
+    outcome: SendOutcome,
 }
 
 impl Drop for ActiveSend {
@@ -69,8 +69,8 @@
         let now = self.shared.now();
         self.shared.metrics.count_send_end(self.outcome);
         telemetry::send_ended(&self.shared, &self.request, self, self.outcome);
-        self.shared.core.borrow_mut().fleet.end(now, self.ticket, self.outcome);
-        if self.outcome == Sign::Reply {
+        self.shared.core.borrow_mut().fleet.record_outcome(now, self.ticket, self.outcome);
+        if self.outcome == SendOutcome::Reply {
             self.shared.queue_reports(now, &[self.ticket.upstream]);
         }
     }
@@ -104,7 +104,7 @@
     /// up.
     pub(crate) host_charged: bool,
     /// Limits on how much of the reply the answer uses; `None` if it uses all of it.
-    pub(crate) part_limits: Option<Cut>,
+    pub(crate) part_limits: Option<PartLimits>,
     /// What is known about upstreams that ended under this request.
     pub(crate) seen: Seen,
 }
@@ -114,11 +114,11 @@
     shared: Rc<Shared>,
     Options { ticket, hop, fallback, host_charged, part_limits, seen }: Options,
     request: Rc<OutgoingRequest>,
-) -> Ended {
+) -> SendResult {
     let entry = shared.core.borrow().fleet.get(ticket.upstream).map(|u| u.entry.clone());
     // The upstream was removed after the send was ordered: nothing was counted for it and nothing
     // is sent.
-    let Some(entry) = entry else { return Ended::Unsent };
+    let Some(entry) = entry else { return SendResult::NotConnected };
     let mut send = ActiveSend {
         shared: shared.clone(),
         request: request.clone(),
@@ -130,41 +130,43 @@
         host_charged,
         part_limits,
         seen,
-        outcome: Sign::Dropped,
+        outcome: SendOutcome::Abandoned,
     };
     let remaining = Duration::from(request.deadline - shared.now());
     let result = match hop {
         Hop::Direct => timeout(remaining, send_directly(&send)).await,
         Hop::Peer => timeout(remaining, hop::send_via_peer(&send)).await,
     };
-    let (outcome, ended) = result.unwrap_or((Sign::Silent, Ended::Silent));
-    if let Ended::Answered(response) = &ended
+    let (outcome, result) = result.unwrap_or((SendOutcome::TimedOut, SendResult::TimedOut));
+    if let SendResult::Answered(response) = &result
         && let Some(load) = response.load
     {
-        shared.core.borrow_mut().fleet.loaded(shared.now(), ticket.upstream, load);
+        shared.core.borrow_mut().fleet.record_load(shared.now(), ticket.upstream, load);
     }
     send.outcome = outcome;
-    ended
+    result
 }
 
 /// Sends on a connection of this VM.
-pub(crate) async fn send_directly(send: &ActiveSend) -> (Sign, Ended) {
-    telemetry::send_to_suspected(&send.shared, send);
+pub(crate) async fn send_directly(send: &ActiveSend) -> (SendOutcome, SendResult) {
+    telemetry::send_to_retained(&send.shared, send);
     match try_send(send).await {
         Ok(response) => classify_response(&send.shared, send.ticket, response),
-        Err(Failure::Unsent) => (Sign::Unreachable, Ended::Unsent),
-        Err(Failure::Disallowed) => (Sign::Busy, Ended::Busy),
-        Err(Failure::ConnectionLimit) => (Sign::Crowded, Ended::Unsent),
-        Err(Failure::InvalidReply) => (Sign::Broken, Ended::Broken),
-        Err(Failure::Broken) => (Sign::Broken, diagnose_break(send).await),
-        Err(Failure::NewConnectionBroken) => (Sign::Crowded, diagnose_break(send).await),
+        Err(Failure::Unsent) => (SendOutcome::Unreachable, SendResult::NotConnected),
+        Err(Failure::Disallowed) => (SendOutcome::PeerRefused, SendResult::PeerRefused),
+        Err(Failure::ConnectionLimit) => (SendOutcome::ConnectionLimit, SendResult::NotConnected),
+        Err(Failure::InvalidReply) => (SendOutcome::Broken, SendResult::Broken),
+        Err(Failure::Broken) => (SendOutcome::Broken, diagnose_break(send).await),
+        Err(Failure::NewConnectionBroken) => {
+            (SendOutcome::ConnectionLimit, diagnose_break(send).await)
+        }
     }
 }
 
 /// Finds out whether a broken connection means that the upstream ended or only that the reply was
 /// lost.
-async fn diagnose_break(send: &ActiveSend) -> Ended {
-    if broken::has_upstream_ended(send).await { Ended::Gone } else { Ended::Broken }
+async fn diagnose_break(send: &ActiveSend) -> SendResult {
+    if broken::has_upstream_ended(send).await { SendResult::Terminated } else { SendResult::Broken }
 }
 
 async fn try_send(send: &ActiveSend) -> Result<Response<Bytes>, Failure> {
@@ -185,7 +187,11 @@
         // Connecting may take seconds. Meanwhile the upstream may have left or become cold, or the
         // request's home regions may have changed, so the permission to send is checked again. As
         // nothing was sent, the request can still go to another upstream.
-        if !shared.core.borrow_mut().clear(shared.now(), request.route.as_deref(), *ticket) {
+        if !shared.core.borrow_mut().authorize_write(
+            shared.now(),
+            request.route.as_deref(),
+            *ticket,
+        ) {
             return Err(Failure::Disallowed);
         }
         let message = build_message(shared, request, &expected).map_err(|_| Failure::Unsent)?;
@@ -260,12 +266,16 @@
         return Err(Failure::InvalidReply);
     }
     let stated = headers::keep_alive_seconds(&head.headers);
-    let keep = shared.core.borrow().keep(ticket.upstream);
-    shared.pools.put(shared.now(), ticket.upstream, connection, stated, keep);
+    let idle_limit = shared.core.borrow().idle_connection_limit(ticket.upstream);
+    shared.pools.put(shared.now(), ticket.upstream, connection, stated, idle_limit);
     Ok(Response::from_parts(head, body))
 }
 
-fn classify_response(shared: &Shared, ticket: Ticket, response: Response<Bytes>) -> (Sign, Ended) {
+fn classify_response(
+    shared: &Shared,
+    ticket: Ticket,
+    response: Response<Bytes>,
+) -> (SendOutcome, SendResult) {
     let names = shared.codec.headers();
     let (mut head, body) = response.into_parts();
     if head.status == StatusCode::MISDIRECTED_REQUEST {
@@ -276,26 +286,26 @@
             core.fleet.remove(&id);
             tracing::info!(upstream = %id, cause = "another incarnation answered", "upstream removed");
         }
-        return (Sign::Shed, Ended::Declined);
+        return (SendOutcome::Shed, SendResult::Declined);
     }
     let load = head.headers.remove(&names.load).and_then(|value| shared.codec.load(&value));
     if head.headers.contains_key(&names.declined) {
-        return (Sign::Shed, Ended::Declined);
+        return (SendOutcome::Shed, SendResult::Declined);
     }
     let signature = head.headers.get(&names.seal).cloned();
     headers::strip(&mut head.headers);
     classify_reply(plan::Response {
         status: head.status,
         headers: head.headers,
-        seal: signature,
+        signature,
         load,
         body,
     })
 }
 
 /// Classifies a complete reply as success or failure of its upstream.
-pub(crate) fn classify_reply(response: plan::Response) -> (Sign, Ended) {
-    let failed = response.status.is_server_error() || !response.good();
-    let outcome = if failed { Sign::Failure } else { Sign::Reply };
-    (outcome, Ended::Answered(Box::new(response)))
+pub(crate) fn classify_reply(response: plan::Response) -> (SendOutcome, SendResult) {
+    let failed = response.status.is_server_error() || !response.is_signed_success();
+    let outcome = if failed { SendOutcome::Failure } else { SendOutcome::Reply };
+    (outcome, SendResult::Answered(Box::new(response)))
 }
--- a/crates/tgw-gateway/src/handle.rs
+++ b/crates/tgw-gateway/src/handle.rs
@@ -14,7 +14,7 @@
 use tgw_clock::Millis;
 use tgw_forward::{
     Plan,
-    plan::{self, Answer, Event, Order, Response as Reply},
+    plan::{self, Answer, Event, Response as Reply, SendOrder},
 };
 use tgw_quarantine::fingerprint::Content;
 use tgw_route::Route;
@@ -229,15 +229,15 @@
         (Self { shared, request, ended, tasks: Vec::new() }, results)
     }
 
-    fn start(&mut self, order: &Order) {
+    fn start(&mut self, order: &SendOrder) {
         let (shared, request) = (self.shared.clone(), self.request.clone());
-        let Order {
+        let SendOrder {
             part,
             ticket,
             hop,
-            insist: fallback,
+            fallback,
             lent: host_charged,
-            cut: part_limits,
+            limits: part_limits,
             seen,
             ..
         } = *order;
@@ -246,7 +246,7 @@
         let task = tokio::task::spawn_local(async move {
             let result = exchange::run(shared, options, request).await;
             // The receiver is gone once the answer has been sent.
-            let _ = ended.send(Event::Ended { part, upstream: ticket.upstream, ended: result });
+            let _ = ended.send(Event::SendEnded { part, upstream: ticket.upstream, result });
         });
         self.tasks.push(task.abort_handle());
     }
@@ -279,10 +279,10 @@
     let fingerprint = outgoing.fingerprint;
     let options = plan::Options {
         route: route.clone(),
-        patience: caller_timeout,
-        opened: first_on_connection,
-        spread,
-        print: fingerprint,
+        caller_timeout,
+        new_connection: first_on_connection,
+        retry_spread: spread,
+        fingerprint,
     };
     let mut plan = Plan::new(arrived, &options);
     outgoing.deadline = plan.deadline();
@@ -292,25 +292,25 @@
     let mut event = Event::Start;
     let answer = loop {
         let now = shared.now();
-        let answer = plan.on(now, event, &mut shared.core.borrow_mut(), &mut orders);
+        let answer = plan.handle(now, event, &mut shared.core.borrow_mut(), &mut orders);
         for order in orders.drain(..) {
             telemetry::send_started(shared, now, &outgoing, &plan, &order);
             sends.start(&order);
         }
-        shared.queue_reports(now, &plan.take_late());
+        shared.queue_reports(now, &plan.take_late_upstreams());
         for withheld in plan.take_withheld() {
             telemetry::send_withheld(shared, now, &outgoing, &plan, withheld);
         }
         if let Some(answer) = answer {
             break answer;
         }
-        let wake = plan.wake(now);
+        let wake = plan.next_wakeup(now);
         event = tokio::select! {
             biased;
             ended = results.recv() => ended.unwrap_or(Event::Tick),
             () = sleep(Duration::from(wake - now)) => {
                 let late = shared.now() - wake.max(now);
-                shared.core.borrow_mut().margin.fired(late);
+                shared.core.borrow_mut().margin.record_timer_delay(late);
                 Event::Tick
             }
         };
@@ -326,7 +326,7 @@
 fn respond(shared: &Shared, answer: Answer) -> Response<Full<Bytes>> {
     match answer {
         Answer::Forward(reply) => response_from_reply(*reply),
-        Answer::Merged { seals: signatures, missing, body } => {
+        Answer::Merged { signatures, missing, body } => {
             let names = shared.codec.headers();
             let mut response = Response::new(Full::new(body));
             let head = response.headers_mut();
@@ -358,7 +358,7 @@
             | StatusCode::MISDIRECTED_REQUEST
     );
     // A successful reply needs its signature; without one it may be truncated.
-    if promises_not_run || (reply.status.is_success() && reply.seal.is_none()) {
+    if promises_not_run || (reply.status.is_success() && reply.signature.is_none()) {
         return *refuse(StatusCode::BAD_GATEWAY, None);
     }
     let mut response = Response::new(Full::new(reply.body));
--- a/crates/tgw-gateway/src/hop.rs
+++ b/crates/tgw-gateway/src/hop.rs
@@ -16,9 +16,9 @@
 use tgw_forward::{
     fleet::{Hop, Place},
     hosting::{self, Refusal},
-    merge::Cut,
-    plan::{Ended, Response},
-    upstream::Sign,
+    merge::PartLimits,
+    plan::{Response, SendResult},
+    upstream::SendOutcome,
 };
 use tgw_spread::{
     hop::{Outcome, Reply, Request},
@@ -152,12 +152,12 @@
 }
 
 /// Asks a VM near the upstream to make the send.
-pub(crate) async fn send_via_peer(send: &ActiveSend) -> (Sign, Ended) {
+pub(crate) async fn send_via_peer(send: &ActiveSend) -> (SendOutcome, SendResult) {
     let ActiveSend { shared, request, entry, .. } = send;
     let now = shared.now();
     let place = &shared.settings.place;
     let lease_holder =
-        shared.core.borrow().fleet.through(now, send.ticket.upstream).map(|s| s.addr);
+        shared.core.borrow().fleet.lease_holder(now, send.ticket.upstream).map(|s| s.addr);
     let host = lease_holder.or_else(|| shared.hops.choose_host(now, &entry.domain, place));
     let Some((host, message)) = host.zip(pack(send)) else {
         return send_without_host(send).await;
@@ -168,7 +168,9 @@
     let _pending = PendingSend { shared, host, number, sent_at: now };
     shared.packets.send(host, &Datagram::Hop(Box::new(message)));
     // The sender stays in the table until it is used.
-    let Ok(outcome) = answer.await else { return (Sign::Dropped, Ended::Unsent) };
+    let Ok(outcome) = answer.await else {
+        return (SendOutcome::Abandoned, SendResult::NotConnected);
+    };
     tracing::debug!(request = ?request.identity, %host, "peer made the send");
     if outcome == Outcome::Full {
         shared.hops.backoffs.borrow_mut().insert(host, shared.now() + FULL_BACKOFF_MS);
@@ -179,8 +181,12 @@
 
 /// Sends on a connection of this VM because no other VM can make the send; reports the upstream as
 /// busy instead if this VM's retry budget is used up.
-async fn send_without_host(send: &ActiveSend) -> (Sign, Ended) {
-    if send.host_charged { (Sign::Busy, Ended::Busy) } else { exchange::send_directly(send).await }
+async fn send_without_host(send: &ActiveSend) -> (SendOutcome, SendResult) {
+    if send.host_charged {
+        (SendOutcome::PeerRefused, SendResult::PeerRefused)
+    } else {
+        exchange::send_directly(send).await
+    }
 }
 
 /// Encodes the request for a packet; `None` if it does not fit into one.
@@ -213,22 +219,22 @@
     })
 }
 
-fn outcome_of(outcome: Outcome) -> (Sign, Ended) {
+fn outcome_of(outcome: Outcome) -> (SendOutcome, SendResult) {
     match outcome {
         Outcome::Answered { status, seal: signature, load, body } => {
             let Ok(status) = StatusCode::from_u16(status) else {
-                return (Sign::Broken, Ended::Broken);
+                return (SendOutcome::Broken, SendResult::Broken);
             };
             let signature = signature.and_then(|s| HeaderValue::from_bytes(&s).ok());
             let (headers, body) = (HeaderMap::new(), Bytes::from(body));
-            exchange::classify_reply(Response { status, headers, seal: signature, load, body })
+            exchange::classify_reply(Response { status, headers, signature, load, body })
         }
-        Outcome::Busy | Outcome::Full => (Sign::Busy, Ended::Busy),
-        Outcome::Unsent => (Sign::Unreachable, Ended::Unsent),
-        Outcome::Declined => (Sign::Shed, Ended::Declined),
-        Outcome::Broken => (Sign::Broken, Ended::Broken),
-        Outcome::Gone => (Sign::Broken, Ended::Gone),
-        Outcome::Silent => (Sign::Silent, Ended::Silent),
+        Outcome::Busy | Outcome::Full => (SendOutcome::PeerRefused, SendResult::PeerRefused),
+        Outcome::Unsent => (SendOutcome::Unreachable, SendResult::NotConnected),
+        Outcome::Declined => (SendOutcome::Shed, SendResult::Declined),
+        Outcome::Broken => (SendOutcome::Broken, SendResult::Broken),
+        Outcome::Gone => (SendOutcome::Broken, SendResult::Terminated),
+        Outcome::Silent => (SendOutcome::TimedOut, SendResult::TimedOut),
     }
 }
 
@@ -257,18 +263,13 @@
 
 async fn make_send(shared: &Rc<Shared>, request: Request) -> Outcome {
     let limit = usize::try_from(request.limit).unwrap_or(usize::MAX);
-    let part_limits = (limit > 0).then_some(Cut { limit, floor: request.floor });
+    let part_limits = (limit > 0).then_some(PartLimits { limit, floor: request.floor });
     let Request { started, insist: fallback, lent: host_charged, seen, .. } = request;
     let upstream = request.upstream.clone();
     let Some(outgoing) = unpack(shared, request) else { return Outcome::Unsent };
     let route = outgoing.route.as_deref();
-    let requested = hosting::Request {
-        upstream: &upstream,
-        started,
-        insist: fallback,
-        lent: host_charged,
-        route,
-    };
+    let requested =
+        hosting::Request { upstream: &upstream, started, fallback, lent: host_charged, route };
     let hosted = shared.core.borrow_mut().host(shared.now(), requested);
     let ticket = match hosted {
         Ok(ticket) => ticket,
@@ -280,24 +281,24 @@
     let options =
         exchange::Options { ticket, hop, fallback, host_charged: false, part_limits: None, seen };
     match exchange::run(shared.clone(), options, Rc::new(outgoing)).await {
-        Ended::Answered(response) => reply_outcome(*response, part_limits),
-        Ended::Declined => Outcome::Declined,
-        ended @ (Ended::Unsent | Ended::Busy) => {
+        SendResult::Answered(response) => reply_outcome(*response, part_limits),
+        SendResult::Declined => Outcome::Declined,
+        result @ (SendResult::NotConnected | SendResult::PeerRefused) => {
             // A send that reached no upstream does not use the retry budget.
             if let Some(service) = &service {
                 shared.core.borrow_mut().refund(service);
             }
-            if matches!(ended, Ended::Busy) { Outcome::Busy } else { Outcome::Unsent }
+            if matches!(result, SendResult::PeerRefused) { Outcome::Busy } else { Outcome::Unsent }
         }
-        Ended::Broken => Outcome::Broken,
-        Ended::Gone => Outcome::Gone,
-        Ended::Silent => Outcome::Silent,
+        SendResult::Broken => Outcome::Broken,
+        SendResult::Terminated => Outcome::Gone,
+        SendResult::TimedOut => Outcome::Silent,
     }
 }
 
-fn reply_outcome(response: Response, part_limits: Option<Cut>) -> Outcome {
+fn reply_outcome(response: Response, part_limits: Option<PartLimits>) -> Outcome {
     // The body of a failure is not a list of records.
-    let body = match part_limits.filter(|_| response.good()) {
+    let body = match part_limits.filter(|_| response.is_signed_success()) {
         Some(part_limits) => part_limits.apply(&response.body),
         None => response.body.to_vec(),
     };
@@ -306,7 +307,7 @@
     }
     Outcome::Answered {
         status: response.status.as_u16(),
-        seal: response.seal.map(|s| s.as_bytes().to_vec()),
+        seal: response.signature.map(|s| s.as_bytes().to_vec()),
         load: response.load,
         body,
     }
--- a/crates/tgw-gateway/src/log_limiter.rs
+++ b/crates/tgw-gateway/src/log_limiter.rs
@@ -25,7 +25,7 @@
     Detail,
     /// The answer to a request that was not served as usual.
     Outcome,
-    /// An upstream that ended under a send, or a send to a suspected upstream.
+    /// An upstream that ended under a send, or a send to an upstream whose entry is missing.
     Crash,
 }
 
--- a/crates/tgw-gateway/src/metrics.rs
+++ b/crates/tgw-gateway/src/metrics.rs
@@ -12,8 +12,8 @@
 use tgw_clock::Millis;
 use tgw_forward::{
     fleet::Hop,
-    plan::Why,
-    upstream::{Distance, Sign},
+    plan::Trigger,
+    upstream::{Distance, SendOutcome},
 };
 use tgw_platform::Error;
 
@@ -120,27 +120,27 @@
     }
 
     /// Counts a send.
-    pub(crate) fn count_send(&self, why: Why, distance: Distance, hop: Hop) {
-        let why = match why {
-            Why::First => "first",
-            Why::Hedge => "hedge",
-            Why::Retry => "retry",
+    pub(crate) fn count_send(&self, trigger: Trigger, distance: Distance, hop: Hop) {
+        let trigger = match trigger {
+            Trigger::First => "first",
+            Trigger::Hedge => "hedge",
+            Trigger::Retry => "retry",
         };
         let distance = match distance {
             Distance::Domain => "domain",
             Distance::Region => "region",
-            Distance::Far => "far",
+            Distance::OtherRegion => "far",
         };
         let hop = match hop {
             Hop::Direct => "direct",
             Hop::Peer => "peer",
         };
-        let labels = [("why", why), ("distance", distance), ("hop", hop)];
+        let labels = [("why", trigger), ("distance", distance), ("hop", hop)];
         self.sends.add(1, &labels.map(|(name, value)| KeyValue::new(name, value)));
     }
 
     /// Counts the end of a send.
-    pub(crate) fn count_send_end(&self, outcome: Sign) {
+    pub(crate) fn count_send_end(&self, outcome: SendOutcome) {
         self.send_ends.add(1, &[KeyValue::new("result", outcome.text())]);
     }
 
--- a/crates/tgw-gateway/src/peers.rs
+++ b/crates/tgw-gateway/src/peers.rs
@@ -17,8 +17,8 @@
 use tgw_clock::Millis;
 use tgw_forward::{
     core::Vms,
-    upstream::Word,
-    warmup::{REMEMBERED, Roster, Seat},
+    upstream::PeerReport,
+    warmup::{Candidate, Candidates, DEAD_VM_LEASE_RETENTION_MS},
 };
 use tgw_member::{Action, Event, Member};
 use tgw_owner::{Directory, State};
@@ -165,7 +165,7 @@
             self.shared.world.borrow_mut().upstreams.tick(self.shared.now(), &mut core.fleet);
         drop(core);
         if removed {
-            telemetry::suspicion_changes(&self.shared);
+            telemetry::retention_changes(&self.shared);
         }
     }
 
@@ -215,7 +215,7 @@
     fn on_packet(self: &Rc<Self>, received_packet: Result<Datagram, Error>, from: SocketAddr) {
         match received_packet {
             Ok(Datagram::Member(member_packet)) => {
-                self.shared.core.borrow_mut().fleet.heard(self.shared.now());
+                self.shared.core.borrow_mut().fleet.record_contact(self.shared.now());
                 self.on_member_event(Event::Packet(from, member_packet));
             }
             Ok(Datagram::Late(reports)) => {
@@ -223,8 +223,8 @@
                 let mut core = self.shared.core.borrow_mut();
                 for late in reports {
                     let Late { upstream, started, overdue, expected } = late;
-                    let report = Word { overdue, expected: f64::from(expected) };
-                    core.fleet.told(now, &upstream, started, report);
+                    let report = PeerReport { overdue, expected_latency_ms: f64::from(expected) };
+                    core.fleet.apply_report(now, &upstream, started, report);
                 }
             }
             Ok(Datagram::Hop(request)) => hop::accept(&self.shared, from, *request),
@@ -324,38 +324,44 @@
         let other_vms = others().map(|(vm, _)| vm.0).collect();
         self.shared.core.borrow_mut().quarantine.set_vms(own.0, other_vms);
         let count = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
-        let vms = Vms { all: count(all), near: count(near) };
+        let vms = Vms { all: count(all), in_region: count(near) };
         // At its start a VM knows no other VM, and would claim all connections as its own share.
         if !self.is_settled() && vms.all <= self.shared.core.borrow().vms().all {
             return;
         }
         let mut core = self.shared.core.borrow_mut();
         if self.is_settled() {
-            core.fleet.set_roster(self.roster(&directory));
+            core.fleet.set_candidates(self.candidates(&directory));
         }
         if core.vms() != vms {
-            tracing::info!(vms = vms.all, near = vms.near, before = core.vms().all, "VMs counted");
+            tracing::info!(
+                vms = vms.all,
+                near = vms.in_region,
+                before = core.vms().all,
+                "VMs counted"
+            );
             core.set_vms(vms);
         }
     }
 
     /// The VMs that can hold leases to send to cold upstreams. A leaving VM releases its leases by
     /// itself.
-    fn roster(&self, directory: &Directory) -> Roster {
+    fn candidates(&self, directory: &Directory) -> Candidates {
         let member = self.member.borrow();
-        let mut domains: BTreeMap<Rc<str>, Vec<Seat>> = BTreeMap::new();
+        let mut domains: BTreeMap<Rc<str>, Vec<Candidate>> = BTreeMap::new();
         for (vm, entry) in &directory.members {
-            let Some(domain) = self.shared.settings.place.numbered(entry.place.domain.0) else {
+            let Some(domain) = self.shared.settings.place.domain_by_number(entry.place.domain.0)
+            else {
                 continue;
             };
             if entry.state == State::Leaving {
                 continue;
             }
-            let dead_until = member.dead_since(*vm).map(|at| at + REMEMBERED);
-            let seat = Seat { vm: vm.0, addr: entry.addr, dead_until };
-            domains.entry(domain.into()).or_default().push(seat);
+            let dead_until = member.dead_since(*vm).map(|at| at + DEAD_VM_LEASE_RETENTION_MS);
+            let candidate = Candidate { vm: vm.0, addr: entry.addr, dead_until };
+            domains.entry(domain.into()).or_default().push(candidate);
         }
-        Roster::new(Vm::named(&self.shared.settings.vm).0, domains)
+        Candidates::new(Vm::named(&self.shared.settings.vm).0, domains)
     }
 
     /// Updates the addresses of the live VMs of other regions.
@@ -363,7 +369,7 @@
         let place = &self.shared.settings.place;
         let mut hosts = Hosts::default();
         for (_, member) in directory.owners() {
-            let Some(domain) = place.numbered(member.place.domain.0) else { continue };
+            let Some(domain) = place.domain_by_number(member.place.domain.0) else { continue };
             let Some(region) = place.regions.get(domain) else { continue };
             hosts.domains.entry(domain.into()).or_default().push(member.addr);
             hosts.regions.entry(region.clone()).or_default().push(member.addr);
@@ -372,7 +378,7 @@
             hosts.regions.remove(own);
         }
         let served_regions = hosts.regions.keys().cloned().collect();
-        self.shared.core.borrow_mut().fleet.set_manned(served_regions);
+        self.shared.core.borrow_mut().fleet.set_peer_regions(served_regions);
         self.shared.hops.set_hosts(hosts);
     }
 
--- a/crates/tgw-gateway/src/pool.rs
+++ b/crates/tgw-gateway/src/pool.rs
@@ -53,14 +53,14 @@
     }
 
     /// Keeps a connection after a complete reply. `stated_idle_s` is the upstream's idle timeout in s,
-    /// `keep` the number of connections kept for the full idle timeout.
+    /// `idle_limit` the number of connections kept for the full idle timeout.
     pub(crate) fn put(
         &self,
         now: Millis,
         key: Key,
         mut connection: Connection,
         stated_idle_s: Option<u64>,
-        keep: usize,
+        idle_limit: usize,
     ) {
         let mut pools = self.0.borrow_mut();
         let connections = pools.entry(key).or_default();
@@ -68,7 +68,8 @@
             .map_or(DEFAULT_IDLE_TIMEOUT_MS, |s| (s * 1_000).saturating_sub(IDLE_MARGIN_MS));
         // An upstream counts connections of VMs that lost power for some seconds more. If all VMs
         // held all the connections they may, none could connect after their restart.
-        let idle = if connections.len() >= keep { idle.min(EXCESS_IDLE_TIMEOUT_MS) } else { idle };
+        let idle =
+            if connections.len() >= idle_limit { idle.min(EXCESS_IDLE_TIMEOUT_MS) } else { idle };
         if idle == 0 || connection.sender.is_closed() {
             return;
         }
@@ -99,14 +100,14 @@
 
 impl OpenConnection {
     fn new(shared: &Rc<Shared>, key: Key) -> Self {
-        shared.core.borrow_mut().fleet.opened(key);
+        shared.core.borrow_mut().fleet.connection_opened(key);
         Self { shared: shared.clone(), key }
     }
 }
 
 impl Drop for OpenConnection {
     fn drop(&mut self) {
-        self.shared.core.borrow_mut().fleet.closed(self.key);
+        self.shared.core.borrow_mut().fleet.connection_closed(self.key);
     }
 }
 
--- a/crates/tgw-gateway/src/serve.rs
+++ b/crates/tgw-gateway/src/serve.rs
@@ -132,7 +132,7 @@
         tracing::info!(seeds = ?settings.peer.seeds, grace_ms = settings.grace.whole(), "reload");
         self.peers.add_seeds(settings.peer.seeds.clone());
         self.shared.core.borrow_mut().set_budget(settings.budget);
-        self.shared.core.borrow_mut().set_excess(settings.excess);
+        self.shared.core.borrow_mut().set_headroom(settings.excess);
         self.grace = settings.grace;
     }
 
--- a/crates/tgw-gateway/src/settings.rs
+++ b/crates/tgw-gateway/src/settings.rs
@@ -1,6 +1,6 @@
 use std::net::SocketAddr;
 use tgw_clock::Millis;
-use tgw_forward::{core::Budget, fleet::Place, warmup::Excess};
+use tgw_forward::{core::Budget, fleet::Place, warmup::Headroom};
 use tgw_spread::start::Waits;
 use tgw_topology::Place as Numbered;
 
@@ -18,7 +18,7 @@
     /// Retry budget of all VMs together.
     pub budget: Budget,
     /// Headroom for cold upstreams beyond what they declare, of all VMs together.
-    pub excess: Excess,
+    pub excess: Headroom,
     /// Memory budget for buffered bodies, in bytes.
     pub bodies: usize,
     /// The whole fleet is starting for the first time.
--- a/crates/tgw-gateway/src/shared.rs
+++ b/crates/tgw-gateway/src/shared.rs
@@ -9,7 +9,7 @@
     sync::atomic::{AtomicU64, Ordering},
 };
 use tgw_clock::{Clock, Millis, Monotonic};
-use tgw_forward::{Core, Policy, fleet::Key, upstream::Word};
+use tgw_forward::{Core, Policy, fleet::Key, upstream::PeerReport};
 use tgw_quarantine::fingerprint::Hasher;
 use tgw_route::{Config, Limits, Route, Table};
 use tgw_spread::{
@@ -137,7 +137,7 @@
         );
         let world = World::new(settings.heartbeat);
         let mut core = Core::new(settings.place.clone(), settings.budget, policy);
-        core.set_excess(settings.excess);
+        core.set_headroom(settings.excess);
         Ok(Rc::new(Self {
             core: RefCell::new(core),
             settings,
@@ -245,11 +245,13 @@
         let mut core = self.core.borrow_mut();
         let mut reports = self.pending_reports.borrow_mut();
         for key in keys {
-            let Some((entry, Word { overdue, expected })) = core.fleet.tell(now, *key) else {
+            let Some((entry, PeerReport { overdue, expected_latency_ms })) =
+                core.fleet.take_report(now, *key)
+            else {
                 continue;
             };
             let (upstream, started) = (entry.id.clone(), entry.started);
-            reports.push(Late { upstream, started, overdue, expected: expected as f32 });
+            reports.push(Late { upstream, started, overdue, expected: expected_latency_ms as f32 });
         }
         if !reports.is_empty() {
             self.update_ready.notify_one();
--- a/crates/tgw-gateway/src/state_exchange.rs
+++ b/crates/tgw-gateway/src/state_exchange.rs
@@ -131,7 +131,7 @@
         }
         if let Some(update) = update.upstreams {
             self.apply_upstreams(from, update);
-            telemetry::suspicion_changes(&self.shared);
+            telemetry::retention_changes(&self.shared);
         }
         self.shared.record_versions();
         self.shared.update_ready.notify_one();
--- a/crates/tgw-gateway/src/telemetry.rs
+++ b/crates/tgw-gateway/src/telemetry.rs
@@ -10,9 +10,9 @@
 use tgw_clock::Millis;
 use tgw_forward::{
     Plan,
-    catalog::{Change, What},
-    plan::{Answer, Order, Why, Withheld},
-    upstream::{Distance, Entry, Sign},
+    catalog::{Change, Transition},
+    plan::{Answer, SendOrder, Trigger, Withheld},
+    upstream::{Distance, Entry, SendOutcome},
 };
 use tgw_route::Route;
 
@@ -22,13 +22,13 @@
     now: Millis,
     request: &OutgoingRequest,
     plan: &Plan,
-    order: &Order,
+    order: &SendOrder,
 ) {
     let core = shared.core.borrow();
     let upstream = core.fleet.get(order.ticket.upstream);
-    let distance = upstream.map_or(Distance::Far, |u| u.distance);
-    shared.metrics.count_send(order.why, distance, order.hop);
-    if order.why == Why::First || !shared.log_limiter.allows(now, Category::Detail) {
+    let distance = upstream.map_or(Distance::OtherRegion, |u| u.distance);
+    shared.metrics.count_send(order.trigger, distance, order.hop);
+    if order.trigger == Trigger::First || !shared.log_limiter.allows(now, Category::Detail) {
         return;
     }
     tracing::info!(
@@ -36,8 +36,8 @@
         part = order.part,
         service = plan.service(order.part).map(|s| &**s),
         upstream = upstream.map(|u| &*u.entry.id),
-        why = %order.why,
-        after = order.after.and_then(|k| core.fleet.get(k)).map(|u| &*u.entry.id),
+        why = %order.trigger,
+        after = order.previous.and_then(|k| core.fleet.get(k)).map(|u| &*u.entry.id),
         cost_ms = upstream.map_or(0.0, |u| u.cost(now, order.hop).round()),
         hop = %order.hop,
         age_ms = plan.age(now).whole(),
@@ -60,7 +60,7 @@
         request = identity(request),
         part = withheld.part,
         service = plan.service(withheld.part).map(|s| &**s),
-        why = %withheld.why,
+        why = %withheld.trigger,
         reason = %withheld.reason,
         vms = shared.core.borrow().vms().all,
         age_ms = plan.age(now).whole(),
@@ -73,10 +73,10 @@
     shared: &Shared,
     request: &OutgoingRequest,
     send: &ActiveSend,
-    outcome: Sign,
+    outcome: SendOutcome,
 ) {
     let now = shared.now();
-    let not_logged = matches!(outcome, Sign::Reply | Sign::Dropped);
+    let not_logged = matches!(outcome, SendOutcome::Reply | SendOutcome::Abandoned);
     if not_logged || !shared.log_limiter.allows(now, Category::Detail) {
         return;
     }
@@ -90,8 +90,8 @@
         known = upstream.is_some(),
         result = outcome.text(),
         hop = %send.hop,
-        running = upstream.map_or(0, |u| u.running().saturating_sub(1)),
-        expected_ms = upstream.map_or(0.0, |u| u.expected(now).round()),
+        running = upstream.map_or(0, |u| u.in_flight().saturating_sub(1)),
+        expected_ms = upstream.map_or(0.0, |u| u.expected_latency_ms(now).round()),
         took_ms = (now - send.started_at).whole(),
         "send ended"
     );
@@ -116,41 +116,44 @@
     );
 }
 
-/// Logs the changes among upstreams that are suspected because their entries are missing.
-pub(crate) fn suspicion_changes(shared: &Shared) {
+/// Logs the changes among upstreams that are kept although their entries are missing.
+pub(crate) fn retention_changes(shared: &Shared) {
     let changes = shared.world.borrow_mut().upstreams.take_changes();
     let now = shared.now();
-    for Change { id, what, doubt } in changes {
-        let kept_ms = (now - doubt.since).whole();
-        match what {
-            What::Doubted => tracing::info!(
+    for Change { id, transition, retention } in changes {
+        let kept_ms = (now - retention.since).whole();
+        match transition {
+            Transition::Retained => tracing::info!(
                 upstream = &*id,
                 why = "its entry is missing, and the store was away",
-                left_ms = (doubt.until - now).whole(),
+                left_ms = (retention.until - now).whole(),
                 "upstream doubted"
             ),
-            What::Back | What::GivenUp | What::Removed | What::Unreadable => tracing::info!(
+            Transition::Back
+            | Transition::GivenUp
+            | Transition::Removed
+            | Transition::Unreadable => tracing::info!(
                 upstream = &*id,
-                result = %what,
+                result = %transition,
                 kept_ms,
-                late_ms = (now - doubt.until).whole(),
+                late_ms = (now - retention.until).whole(),
                 "upstream doubted no more"
             ),
         }
     }
 }
 
-/// Logs a send to an upstream that is suspected because its entry is missing.
-pub(crate) fn send_to_suspected(shared: &Shared, send: &ActiveSend) {
-    let Some(doubt) = shared.world.borrow().upstreams.doubted(&send.entry.id) else { return };
+/// Logs a send to an upstream that is kept although its entry is missing.
+pub(crate) fn send_to_retained(shared: &Shared, send: &ActiveSend) {
+    let Some(retention) = shared.world.borrow().upstreams.doubted(&send.entry.id) else { return };
     let now = shared.now();
     if shared.log_limiter.allows(now, Category::Crash) {
         tracing::info!(
             request = identity(&send.request),
             upstream = &*send.entry.id,
             service = &*send.entry.service,
-            known_ms = (now - doubt.since).whole(),
-            over_ms = (now - doubt.until).whole(),
+            known_ms = (now - retention.since).whole(),
+            over_ms = (now - retention.until).whole(),
             "send to a doubted upstream"
         );
     }
@@ -167,7 +170,7 @@
 ) {
     let now = shared.now();
     let (outcome, cause, complete) = match answer {
-        Answer::Forward(reply) => ("forwarded", "", reply.good()),
+        Answer::Forward(reply) => ("forwarded", "", reply.is_signed_success()),
         Answer::Merged { missing, .. } => ("merged", "", *missing == 0),
         Answer::Refused { cause, .. } => ("refused", cause.text(), false),
         Answer::Failed(cause) => ("failed", cause.text(), false),
--- a/crates/tgw-spread/src/upstreams.rs
+++ b/crates/tgw-spread/src/upstreams.rs
@@ -4,7 +4,7 @@
 use tgw_clock::Millis;
 use tgw_forward::{
     Catalog, Fleet,
-    catalog::{Change, Doubt},
+    catalog::{Change, Retention},
     upstream::Entry,
 };
 
@@ -65,7 +65,7 @@
         };
         let retained =
             self.retained.iter().filter(|entry| covered(&entry.id)).filter_map(|entry| {
-                let left = (self.catalog.doubted(&entry.id)?.until - now).whole();
+                let left = (self.catalog.retention(&entry.id)?.until - now).whole();
                 (left > 0).then(|| Retained { entry: entry.clone(), left })
             });
         let retained = retained.collect();
@@ -73,8 +73,8 @@
     }
 
     /// Since when and until when an upstream is retained although its entry is missing, if it is.
-    pub fn doubted(&self, id: &str) -> Option<Doubt> {
-        self.catalog.doubted(id)
+    pub fn doubted(&self, id: &str) -> Option<Retention> {
+        self.catalog.retention(id)
     }
 
     /// Takes the changes since the last call of upstreams whose entries are or were missing.
@@ -84,22 +84,22 @@
 
     /// Records that the store did not answer this VM, or those that this VM takes over from.
     pub fn lost(&mut self, now: Millis) {
-        self.catalog.lost(now);
+        self.catalog.record_store_failure(now);
     }
 
     /// Records that the store answered this VM, whether or not anything changed.
     pub fn answered(&mut self, now: Millis) {
-        self.catalog.answered(now);
+        self.catalog.record_store_answer(now);
     }
 
     /// Records that this VM was paused for `gap`.
     pub fn paused(&mut self, gap: Millis) {
-        self.catalog.paused(gap);
+        self.catalog.exclude_pause(gap);
     }
 
     /// Records that the store answered a probe of this VM.
     pub fn probed(&mut self, now: Millis) {
-        self.catalog.heard(now);
+        self.catalog.record_store_alive(now);
     }
 
     /// Applies a list of the store as of `version`: its entries, each with its own version, and the identities of
@@ -115,14 +115,14 @@
         let values = entries.into_iter().map(|(v, e)| (e.id.clone(), v, self.latest(e))).collect();
         self.entries.replace(version, values);
         let entries = self.entries.values().map(|(_, entry)| entry.clone()).collect();
-        self.catalog.listed(now, entries, unreadable, fleet);
+        self.catalog.apply_list(now, entries, unreadable, fleet);
         self.refresh_retained(fleet);
     }
 
     /// Applies a copy of the store. The list does not change, as the copy may be out of date.
     pub fn copied(&mut self, now: Millis, entries: Vec<Entry>, fleet: &mut Fleet) {
         for entry in entries {
-            self.catalog.changed(now, entry, fleet);
+            self.catalog.apply_write(now, entry, fleet);
         }
     }
 
@@ -132,7 +132,7 @@
         // A peer's update may be newer than this late report of the store. The fleet changes only if the list does, or
         // an upstream that has left would come back.
         if self.entries.put(version, entry.id.clone(), entry.clone()) {
-            self.catalog.changed(now, entry, fleet);
+            self.catalog.apply_write(now, entry, fleet);
         }
     }
 
@@ -141,14 +141,14 @@
         // The entry may have been written again after the removal, before `version`.
         let newer = revision > self.entries.written_version(id);
         if self.entries.remove(if newer { revision } else { version }, id) {
-            self.catalog.removed(id, fleet);
+            self.catalog.apply_removal(id, fleet);
         }
     }
 
     /// Applies the store's report that an entry has become unreadable, as of `version`.
     pub fn unreadable(&mut self, version: u64, id: &Rc<str>, fleet: &mut Fleet) {
         self.entries.remove(version, id);
-        self.catalog.unreadable(id, fleet);
+        self.catalog.apply_unreadable(id, fleet);
     }
 
     /// Applies another VM's update; returns the changes that took effect. If a copy of the store was used until now
@@ -162,7 +162,7 @@
     ) -> Applied<Entry> {
         let starts = self.version() == 0;
         if delta.to > self.version() {
-            self.catalog.heard(now);
+            self.catalog.record_store_alive(now);
         }
         for (_, _, entry) in &mut delta.changed {
             *entry = self.latest(entry.clone());
@@ -172,12 +172,12 @@
         for id in &applied.removed {
             let retained = retained.iter().find(|r| r.entry.id == *id);
             match retained.map(|r| Millis::new(r.left)) {
-                Some(left) => self.catalog.lapsed(now, id, left, fleet),
-                None => self.catalog.removed(id, fleet),
+                Some(left) => self.catalog.retain_lapsed(now, id, left, fleet),
+                None => self.catalog.apply_removal(id, fleet),
             }
         }
         for entry in &applied.changed {
-            self.catalog.changed(now, entry.clone(), fleet);
+            self.catalog.apply_write(now, entry.clone(), fleet);
         }
         if whole && copied {
             self.drop_unlisted(fleet);
@@ -196,7 +196,7 @@
             let unknown = fleet.key(&entry.id).is_none() && self.entries.get(&entry.id).is_none();
             if unknown && !entry.draining {
                 fleet.put(now, entry.clone());
-                self.catalog.lapsed(now, &entry.id, Millis::new(*left), fleet);
+                self.catalog.retain_lapsed(now, &entry.id, Millis::new(*left), fleet);
             }
         }
     }
@@ -214,12 +214,12 @@
     fn drop_unlisted(&mut self, fleet: &mut Fleet) {
         let unlisted = fleet.ids().filter(|id| self.entries.get(id).is_none());
         let unlisted: Vec<Rc<str>> = unlisted.cloned().collect();
-        unlisted.iter().for_each(|id| self.catalog.removed(id, fleet));
+        unlisted.iter().for_each(|id| self.catalog.apply_removal(id, fleet));
     }
 
     /// Updates the entries of retained upstreams, for VMs that ask.
     fn refresh_retained(&mut self, fleet: &Fleet) {
-        let retained: HashSet<&Rc<str>> = self.catalog.doubts().map(|(id, _)| id).collect();
+        let retained: HashSet<&Rc<str>> = self.catalog.retentions().map(|(id, _)| id).collect();
         let entry = |id: &&Rc<str>| Some(fleet.get(fleet.key(id)?)?.entry.clone());
         self.retained = retained.iter().filter_map(entry).collect();
     }
