--- a/crates/tgw-spread/tests/upstreams/mod.rs
+++ b/crates/tgw-spread/tests/upstreams/mod.rs
@@ -2,7 +2,7 @@
 
 use crate::upstream;
 use tgw_clock::Millis;
-use tgw_forward::{Fleet, catalog::GRACE, upstream::Entry};
+use tgw_forward::{Fleet, catalog::MISSING_ENTRY_RETENTION_MS, upstream::Entry};
 use tgw_spread::{
     Upstreams,
     follow::{Probed, Sight, Way},
@@ -56,7 +56,7 @@
     assert_eq!((asking.list.version(), asking.list.get("lapsed")), (13, None));
     assert!(asking.uses("lapsed"), "retained, as its process may still run");
     for vm in &mut vms {
-        vm.list.tick(back + GRACE, &mut vm.fleet);
+        vm.list.tick(back + MISSING_ENTRY_RETENTION_MS, &mut vm.fleet);
         assert!(!vm.uses("lapsed") && vm.uses("a"));
     }
 }
@@ -91,7 +91,7 @@
     retaining.list.listed(back, 13, vec![(3, named("a"))], &[], &mut retaining.fleet);
     starting.update_from(back, &retaining);
     assert!(starting.uses("lapsed") && starting.list.get("lapsed").is_none());
-    starting.list.tick(back + GRACE, &mut starting.fleet);
+    starting.list.tick(back + MISSING_ENTRY_RETENTION_MS, &mut starting.fleet);
     assert!(!starting.uses("lapsed"));
 }
 
