--- a/crates/tanagergw/src/gateway.rs
+++ b/crates/tanagergw/src/gateway.rs
@@ -5,7 +5,7 @@
 use tgw_forward::Policy;
 use tgw_gateway::{
     Options,
-    log::{self, Dropped, Log},
+    log::{self, DropCounter, Log},
 };
 use tgw_site::{Objects, Settings, Site, settings};
 use tokio::{runtime, signal::unix, task::LocalSet, time::sleep};
@@ -27,7 +27,7 @@
 }
 
 pub(crate) fn run(args: &Args) -> anyhow::Result<ExitCode> {
-    let Log { subscriber, dropped, guard: _guard } = log::open(io::stdout(), &args.log)?;
+    let Log { subscriber, dropped_lines, guard: _guard } = log::open(io::stdout(), &args.log)?;
     tracing::subscriber::set_global_default(subscriber)?;
     let settings = match read_settings(&args.settings) {
         Ok(settings) => settings,
@@ -42,7 +42,7 @@
         tracing::warn!(setting, "policy setting overridden by --set");
     }
     let runtime = runtime::Builder::new_current_thread().enable_all().build()?;
-    LocalSet::new().block_on(&runtime, serve(&args.settings, settings, dropped, policy))
+    LocalSet::new().block_on(&runtime, serve(&args.settings, settings, dropped_lines, policy))
 }
 
 fn read_settings(path: &str) -> anyhow::Result<Settings> {
@@ -56,7 +56,7 @@
 async fn serve(
     path: &str,
     settings: Settings,
-    dropped: Dropped,
+    dropped_lines: DropCounter,
     policy: Policy,
 ) -> anyhow::Result<ExitCode> {
     let mut term = unix::signal(unix::SignalKind::terminate())?;
@@ -64,9 +64,9 @@
     let store = Rc::new(Objects::open(settings.store));
     let options = Options {
         settings: settings.gateway.clone(),
-        dialect: Box::new(Site::default()),
+        codec: Box::new(Site::default()),
         store: store.clone(),
-        dropped: Some(dropped),
+        dropped_lines: Some(dropped_lines),
         policy,
     };
     let mut handle = tgw_gateway::spawn(options).await?;
--- a/crates/tgw-gateway/src/dialect.rs
+++ b/crates/tgw-gateway/src/codec.rs
@@ -10,21 +10,21 @@
 #[derive(Clone, Debug)]
 pub struct Headers {
     /// Identifier of the request; upstreams echo it.
-    pub request: HeaderName,
+    pub request_id: HeaderName,
     /// Time left until the deadline, in whole ms.
     pub deadline: HeaderName,
     /// The upstream incarnation that the request is meant for.
-    pub expected: HeaderName,
+    pub expected_incarnation: HeaderName,
     /// Signature of an upstream's reply.
-    pub seal: HeaderName,
+    pub signature: HeaderName,
     /// The load that an upstream reports with a reply.
     pub load: HeaderName,
     /// Present if the upstream states that it did not run the request.
-    pub declined: HeaderName,
+    pub not_executed: HeaderName,
     /// The signatures of the parts that an answer was merged from.
-    pub parts: HeaderName,
+    pub part_signatures: HeaderName,
     /// The number of shards missing from an answer.
-    pub missing: HeaderName,
+    pub missing_parts: HeaderName,
 }
 
 /// Kinds of objects in the platform's store.
@@ -46,14 +46,14 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
     /// Path of the value in its document, for example `routes[3].timeout`.
-    pub place: String,
+    pub path: String,
     /// Description of the problem.
-    pub what: String,
+    pub problem: String,
 }
 
 impl fmt::Display for Finding {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.place, self.what)
+        write!(f, "{}: {}", self.path, self.problem)
     }
 }
 
@@ -67,7 +67,7 @@
 }
 
 /// Translates between the platform's names and this product's types.
-pub trait Dialect {
+pub trait Codec {
     /// Names of the headers.
     fn headers(&self) -> &Headers;
     /// Kinds of the objects in the store.
@@ -75,9 +75,9 @@
     /// The path on which the balancer checks readiness.
     fn ready_path(&self) -> &str;
     /// Decodes the load that an upstream reports; `None` if the value is not a load.
-    fn load(&self, value: &HeaderValue) -> Option<Load>;
+    fn decode_load(&self, value: &HeaderValue) -> Option<Load>;
     /// Decodes a configuration. Errors: the configuration has no version or no routes.
-    fn config(&self, value: &Value) -> Result<Decoded<Config>, Vec<Finding>>;
+    fn decode_config(&self, value: &Value) -> Result<Decoded<Config>, Vec<Finding>>;
     /// Decodes an upstream's entry. Errors: a required field is missing.
-    fn upstream(&self, name: &str, value: &Value) -> Result<Entry, Vec<Finding>>;
+    fn decode_upstream(&self, name: &str, value: &Value) -> Result<Entry, Vec<Finding>>;
 }
--- a/crates/tgw-gateway/src/exchange.rs
+++ b/crates/tgw-gateway/src/exchange.rs
@@ -242,7 +242,7 @@
     let head = message.headers_mut();
     head.clone_from(&request.headers);
     head.insert(names.deadline.clone(), HeaderValue::from(remaining));
-    head.insert(names.expected.clone(), expected.clone());
+    head.insert(names.expected_incarnation.clone(), expected.clone());
     Ok(message)
 }
 
@@ -257,7 +257,7 @@
     // An upstream may send a second reply late, in place of the next one. The echoed request
     // identifier reveals this. The connection is closed, because whatever follows on it cannot be
     // assigned to a request.
-    if head.headers.get(&names.request).is_some_and(|echo| *echo != request.identity) {
+    if head.headers.get(&names.request_id).is_some_and(|echo| *echo != request.identity) {
         return Err(Failure::InvalidReply);
     }
     let limited = Limited::new(body, MAX_REPLY_BYTES).collect().await;
@@ -288,11 +288,11 @@
         }
         return (SendOutcome::Shed, SendResult::Declined);
     }
-    let load = head.headers.remove(&names.load).and_then(|value| shared.codec.load(&value));
-    if head.headers.contains_key(&names.declined) {
+    let load = head.headers.remove(&names.load).and_then(|value| shared.codec.decode_load(&value));
+    if head.headers.contains_key(&names.not_executed) {
         return (SendOutcome::Shed, SendResult::Declined);
     }
-    let signature = head.headers.get(&names.seal).cloned();
+    let signature = head.headers.get(&names.signature).cloned();
     headers::strip(&mut head.headers);
     classify_reply(plan::Response {
         status: head.status,
--- a/crates/tgw-gateway/src/handle.rs
+++ b/crates/tgw-gateway/src/handle.rs
@@ -92,7 +92,7 @@
             telemetry::request_unconfigured(
                 shared,
                 arrived,
-                header_text(&head.headers, &names.request),
+                header_text(&head.headers, &names.request_id),
             );
             return Err(refuse(StatusCode::SERVICE_UNAVAILABLE, Some(UNCONFIGURED_RETRY_MS)));
         };
@@ -104,14 +104,14 @@
         telemetry::request_unrouted(
             shared,
             arrived,
-            header_text(&head.headers, &names.request),
+            header_text(&head.headers, &names.request_id),
             host,
             path,
             version,
         );
         return Err(refuse(StatusCode::NOT_FOUND, None));
     };
-    let Some(identity) = head.headers.get(&names.request).cloned() else {
+    let Some(identity) = head.headers.get(&names.request_id).cloned() else {
         telemetry::request_unread(shared, arrived, None, "no identity");
         return Err(refuse(StatusCode::BAD_REQUEST, None));
     };
@@ -332,9 +332,9 @@
             let head = response.headers_mut();
             let signatures: Vec<&[u8]> = signatures.iter().map(HeaderValue::as_bytes).collect();
             if let Ok(list) = HeaderValue::from_bytes(&signatures.join(&b", "[..])) {
-                head.insert(names.parts.clone(), list);
+                head.insert(names.part_signatures.clone(), list);
             }
-            head.insert(names.missing.clone(), HeaderValue::from(missing));
+            head.insert(names.missing_parts.clone(), HeaderValue::from(missing));
             response
         }
         Answer::Refused { retry_after, .. } => {
--- a/crates/tgw-gateway/src/hop.rs
+++ b/crates/tgw-gateway/src/hop.rs
@@ -325,7 +325,7 @@
     for (name, value) in request.headers {
         headers.append(HeaderName::try_from(name).ok()?, HeaderValue::from_bytes(&value).ok()?);
     }
-    let identity = headers.get(&shared.codec.headers().request)?.clone();
+    let identity = headers.get(&shared.codec.headers().request_id)?.clone();
     let uri: Uri = request.uri.parse().ok()?;
     let route = shared.config.borrow().route(&uri, &headers).cloned();
     Some(OutgoingRequest {
--- a/crates/tgw-gateway/src/lib.rs
+++ b/crates/tgw-gateway/src/lib.rs
@@ -2,7 +2,7 @@
 //! requests there and returns the answers.
 //!
 //! One thread handles callers, decisions and upstreams, so that a request never moves between
-//! threads. The platform's names and protocols are hidden behind [`Dialect`] and
+//! threads. The platform's names and protocols are hidden behind [`Codec`] and
 //! [`tgw_platform::Store`].
 
 /// Sends whose connection broke, and whether their upstream has ended.
@@ -10,7 +10,7 @@
 /// Connections from callers.
 mod callers;
 /// Interface to the platform adapter.
-pub mod dialect;
+pub mod codec;
 /// Discovery of other VMs through the store.
 mod discovery;
 /// One send to one upstream.
@@ -60,6 +60,6 @@
 /// Watches of the platform's store.
 mod watch;
 
-pub use dialect::Dialect;
+pub use codec::Codec;
 pub use serve::{Handle, Options, spawn};
 pub use settings::Settings;
--- a/crates/tgw-gateway/src/log.rs
+++ b/crates/tgw-gateway/src/log.rs
@@ -12,9 +12,9 @@
 
 /// Counts lines that were dropped because the buffer was full.
 #[derive(Clone, Debug)]
-pub struct Dropped(ErrorCounter);
+pub struct DropCounter(ErrorCounter);
 
-impl Dropped {
+impl DropCounter {
     /// Lines dropped since the start.
     pub fn count(&self) -> u64 {
         self.0.dropped_lines() as u64
@@ -26,7 +26,7 @@
     /// Receives the log lines.
     pub subscriber: S,
     /// Counts the lines that were dropped.
-    pub dropped: Dropped,
+    pub dropped_lines: DropCounter,
     /// Flushes buffered lines when it is dropped.
     pub guard: WorkerGuard,
 }
@@ -39,12 +39,12 @@
 ) -> anyhow::Result<Log<impl Subscriber + Send + Sync>> {
     let (writer, guard) =
         NonBlockingBuilder::default().buffered_lines_limit(BUFFER_LINES).lossy(true).finish(out);
-    let dropped = Dropped(writer.error_counter());
+    let dropped_lines = DropCounter(writer.error_counter());
     let subscriber = tracing_subscriber::fmt()
         .json()
         .flatten_event(true)
         .with_env_filter(EnvFilter::try_new(filter)?)
         .with_writer(writer)
         .finish();
-    Ok(Log { subscriber, dropped, guard })
+    Ok(Log { subscriber, dropped_lines, guard })
 }
--- a/crates/tgw-gateway/src/quarantine.rs
+++ b/crates/tgw-gateway/src/quarantine.rs
@@ -16,7 +16,7 @@
 
 /// Path at the readiness address where operators list quarantined requests; followed by a
 /// fingerprint, it names one of them.
-pub const PATH: &str = "/quarantine";
+pub const HTTP_PATH: &str = "/quarantine";
 
 /// Number of VMs to which each VM forwards new evidence: all of a fleet of 7. In a fleet of 300 an
 /// update reaches 0.9996 of the VMs in three steps (1 - e^-8); the others learn of quarantined
@@ -111,31 +111,36 @@
 
 /// A quarantined request as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
+pub struct QuarantinedRequest {
     /// The request's fingerprint, as in log lines.
-    pub print: String,
+    #[serde(rename = "print")]
+    pub fingerprint: String,
     /// The request is quarantined at all services, not only at some.
-    pub everywhere: bool,
+    #[serde(rename = "everywhere")]
+    pub at_all_services: bool,
     /// Number of upstreams that ended under the request, as far as this VM remembers.
-    pub ended: usize,
+    #[serde(rename = "ended")]
+    pub upstreams_ended: usize,
     /// Number of trials of the request so far.
     pub trials: u8,
     /// Time until the next trial is allowed.
-    pub wait_ms: u64,
+    #[serde(rename = "wait_ms")]
+    pub next_trial_in_ms: u64,
     /// Time since this VM last received the request.
-    pub idle_ms: u64,
+    #[serde(rename = "idle_ms")]
+    pub last_request_ms: u64,
 }
 
 /// All quarantined requests.
-pub(crate) fn list(shared: &Shared) -> Vec<Held> {
+pub(crate) fn list(shared: &Shared) -> Vec<QuarantinedRequest> {
     let quarantined = shared.core.borrow().quarantine.list(shared.now());
-    let shown = quarantined.into_iter().map(|request| Held {
-        print: request.print.to_string(),
-        everywhere: request.all,
-        ended: request.ended,
+    let shown = quarantined.into_iter().map(|request| QuarantinedRequest {
+        fingerprint: request.print.to_string(),
+        at_all_services: request.all,
+        upstreams_ended: request.ended,
         trials: request.trials,
-        wait_ms: request.wait.whole(),
-        idle_ms: request.idle.whole(),
+        next_trial_in_ms: request.wait.whole(),
+        last_request_ms: request.idle.whole(),
     });
     shown.collect()
 }
--- a/crates/tgw-gateway/src/readiness.rs
+++ b/crates/tgw-gateway/src/readiness.rs
@@ -69,10 +69,10 @@
     if path == METRICS_PATH {
         return render_metrics(shared);
     }
-    if path == quarantine::PATH {
+    if path == quarantine::HTTP_PATH {
         return list_quarantined(shared);
     }
-    let named = path.strip_prefix(quarantine::PATH).and_then(|rest| rest.strip_prefix('/'));
+    let named = path.strip_prefix(quarantine::HTTP_PATH).and_then(|rest| rest.strip_prefix('/'));
     if let Some(name) = named.filter(|_| *request.method() == Method::DELETE) {
         let mut response = Response::new(Full::new(Bytes::new()));
         *response.status_mut() = release(shared, name);
@@ -80,7 +80,7 @@
     }
     let status = if path != shared.codec.ready_path() {
         StatusCode::NOT_FOUND
-    } else if shared.ready() {
+    } else if shared.is_ready() {
         StatusCode::OK
     } else {
         StatusCode::SERVICE_UNAVAILABLE
--- a/crates/tgw-gateway/src/serve.rs
+++ b/crates/tgw-gateway/src/serve.rs
@@ -1,8 +1,8 @@
 //! Start and shutdown of the gateway.
 
 use crate::{
-    Dialect, Settings, callers, discovery,
-    log::Dropped,
+    Codec, Settings, callers, discovery,
+    log::DropCounter,
     packets::Packets,
     peers::Peers,
     readiness,
@@ -34,11 +34,11 @@
     /// Settings of the process.
     pub settings: Settings,
     /// Translates the platform's names.
-    pub dialect: Box<dyn Dialect>,
+    pub codec: Box<dyn Codec>,
     /// The platform's store.
     pub store: Rc<dyn Store>,
     /// Counts dropped log lines.
-    pub dropped: Option<Dropped>,
+    pub dropped_lines: Option<DropCounter>,
     /// Parameters of the decision core.
     pub policy: Policy,
 }
@@ -48,7 +48,7 @@
     shared: Rc<Shared>,
     peers: Rc<Peers>,
     callers: JoinHandle<()>,
-    grace: Millis,
+    grace_period: Millis,
     addresses: Addresses,
 }
 
@@ -58,7 +58,7 @@
     /// For callers.
     pub callers: SocketAddr,
     /// For the balancer's checks and for metrics.
-    pub ready: SocketAddr,
+    pub readiness: SocketAddr,
     /// For other VMs.
     pub peers: SocketAddr,
 }
@@ -66,15 +66,15 @@
 /// Binds the sockets and starts serving on the current thread. Must run within a `LocalSet`.
 /// Errors: an address is in use or does not belong to this machine.
 pub async fn spawn(options: Options) -> anyhow::Result<Handle> {
-    let Options { settings, dialect: codec, store, dropped, policy } = options;
-    let callers = bind(settings.callers, "callers").await?;
-    let readiness = bind(settings.ready, "readiness").await?;
-    let (callers_addr, ready) = (callers.local_addr()?, readiness.local_addr()?);
-    let peers = bind(settings.peer.listen, "peers").await?;
+    let Options { settings, codec, store, dropped_lines, policy } = options;
+    let callers = bind(settings.callers_addr, "callers").await?;
+    let readiness = bind(settings.readiness_addr, "readiness").await?;
+    let (callers_addr, readiness_addr) = (callers.local_addr()?, readiness.local_addr()?);
+    let peers = bind(settings.peer.listen_addr, "peers").await?;
     let keys = Keys::new(settings.peer.key, None);
     let packets = Packets::bind(peers.local_addr()?, keys).await?;
-    let shared = Shared::new(settings, codec, packets, dropped, policy)?;
-    tracing::info!(vm = shared.settings.vm, callers = %shared.settings.callers,
+    let shared = Shared::new(settings, codec, packets, dropped_lines, policy)?;
+    tracing::info!(vm = shared.settings.vm, callers = %shared.settings.callers_addr,
         seeds = ?shared.settings.peer.seeds, "start");
     tokio::task::spawn_local(watch::configuration(shared.clone(), store.clone()));
     tokio::task::spawn_local(watch::upstreams(shared.clone(), store.clone()));
@@ -82,13 +82,14 @@
     tokio::task::spawn_local(watch::probe(shared.clone(), store.clone()));
     tokio::task::spawn_local(stale::run(shared.clone(), store.clone()));
     let peers = Peers::spawn(shared.clone(), peers)?;
-    let addresses = Addresses { callers: callers_addr, ready, peers: peers.addr() };
+    let addresses =
+        Addresses { callers: callers_addr, readiness: readiness_addr, peers: peers.addr() };
     tokio::task::spawn_local(discovery::run(shared.clone(), store, peers.clone()));
     tokio::task::spawn_local(readiness::serve(shared.clone(), readiness));
     tokio::task::spawn_local(sweep(shared.clone()));
     let callers = tokio::task::spawn_local(callers::serve(shared.clone(), callers));
-    let grace = shared.settings.grace;
-    Ok(Handle { shared, peers, callers, grace, addresses })
+    let grace_period = shared.settings.grace_period;
+    Ok(Handle { shared, peers, callers, grace_period, addresses })
 }
 
 async fn bind(addr: SocketAddr, what: &str) -> anyhow::Result<TcpListener> {
@@ -122,31 +123,32 @@
     }
 
     /// Whether the balancer may send callers here.
-    pub fn ready(&self) -> bool {
-        self.shared.ready()
+    pub fn is_ready(&self) -> bool {
+        self.shared.is_ready()
     }
 
     /// Applies the settings that may change while the process runs: seeds, budgets and the grace
     /// period.
     pub fn reload(&mut self, settings: &Settings) {
-        tracing::info!(seeds = ?settings.peer.seeds, grace_ms = settings.grace.whole(), "reload");
+        tracing::info!(seeds = ?settings.peer.seeds, grace_ms = settings.grace_period.whole(),
+            "reload");
         self.peers.add_seeds(settings.peer.seeds.clone());
-        self.shared.core.borrow_mut().set_budget(settings.budget);
-        self.shared.core.borrow_mut().set_headroom(settings.excess);
-        self.grace = settings.grace;
+        self.shared.core.borrow_mut().set_budget(settings.retry_budget);
+        self.shared.core.borrow_mut().set_headroom(settings.warmup_headroom);
+        self.grace_period = settings.grace_period;
     }
 
     /// Drains the gateway: reports not ready, keeps accepting until the balancer has noticed, then
     /// lets running requests finish. Returns the number of requests still running when the grace
     /// period ended.
     pub async fn drain(self) -> u32 {
-        let Self { shared, peers, callers, grace, .. } = self;
+        let Self { shared, peers, callers, grace_period, .. } = self;
         tracing::info!(running = shared.running.get(), "leaving: not ready, still accepting");
         shared.phase.send_replace(Phase::Draining);
         peers.leave();
         sleep(Duration::from(DRAIN_NOTICE_MS)).await;
         shared.phase.send_replace(Phase::Closing);
-        let remaining = Duration::from(grace - DRAIN_NOTICE_MS - SHUTDOWN_RESERVE_MS);
+        let remaining = Duration::from(grace_period - DRAIN_NOTICE_MS - SHUTDOWN_RESERVE_MS);
         let finished = timeout(remaining, callers).await.is_ok();
         let running = shared.running.get();
         tracing::info!(running, finished, "stop");
--- a/crates/tgw-gateway/src/settings.rs
+++ b/crates/tgw-gateway/src/settings.rs
@@ -12,36 +12,36 @@
     /// The VM's failure domain, and the region of each domain.
     pub place: Place,
     /// Address on which callers connect.
-    pub callers: SocketAddr,
+    pub callers_addr: SocketAddr,
     /// Address for the balancer's readiness checks and for metrics.
-    pub ready: SocketAddr,
+    pub readiness_addr: SocketAddr,
     /// Retry budget of all VMs together.
-    pub budget: Budget,
+    pub retry_budget: Budget,
     /// Headroom for cold upstreams beyond what they declare, of all VMs together.
-    pub excess: Headroom,
+    pub warmup_headroom: Headroom,
     /// Memory budget for buffered bodies, in bytes.
-    pub bodies: usize,
+    pub body_memory_bytes: usize,
     /// The whole fleet is starting for the first time.
-    pub first: bool,
+    pub first_fleet_start: bool,
     /// How this VM and its peers reach each other.
     pub peer: Peer,
     /// Interval between two heartbeats of an upstream, if known.
-    pub heartbeat: Option<Millis>,
+    pub heartbeat_interval: Option<Millis>,
     /// Time from SIGTERM until the process is killed.
-    pub grace: Millis,
+    pub grace_period: Millis,
 }
 
 /// How this VM and its peers reach each other.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Peer {
     /// Address on which this VM listens for its peers, on UDP and TCP.
-    pub listen: SocketAddr,
+    pub listen_addr: SocketAddr,
     /// Addresses of the VMs to contact first.
     pub seeds: Vec<SocketAddr>,
     /// This VM is a seed of other VMs.
-    pub seed: bool,
+    pub is_seed: bool,
     /// How long this VM waits at its start for other VMs to send it the state.
-    pub waits: Waits,
+    pub start_timeouts: Waits,
     /// This VM's place, by numbers that are the same on all VMs.
     pub place: Numbered,
     /// The key that signs frames.
--- a/crates/tgw-gateway/src/shared.rs
+++ b/crates/tgw-gateway/src/shared.rs
@@ -1,5 +1,5 @@
 use crate::{
-    Dialect, Settings, broken::Sends, headers, hop::Hops, log::Dropped, log_limiter::Limiter,
+    Codec, Settings, broken::Sends, headers, hop::Hops, log::DropCounter, log_limiter::Limiter,
     memory::Budget, metrics::Metrics, packets::Packets, pool::Pools, request_heads::RequestHeads,
 };
 use http::{HeaderMap, Uri};
@@ -71,7 +71,7 @@
 /// State shared by the tasks of the serving thread. Borrows must not be held across an await.
 pub(crate) struct Shared {
     pub(crate) settings: Settings,
-    pub(crate) codec: Box<dyn Dialect>,
+    pub(crate) codec: Box<dyn Codec>,
     pub(crate) clock: Monotonic,
     pub(crate) core: RefCell<Core>,
     pub(crate) pools: Pools,
@@ -108,7 +108,7 @@
     pub(crate) update_ready: Notify,
     pub(crate) phase: watch::Sender<Phase>,
     pub(crate) log_limiter: Limiter,
-    pub(crate) dropped: Option<Dropped>,
+    pub(crate) dropped_lines: Option<DropCounter>,
     pub(crate) metrics: Metrics,
     pub(crate) running: Cell<u32>,
     last_request: Cell<u32>,
@@ -117,27 +117,27 @@
 impl Shared {
     pub(crate) fn new(
         settings: Settings,
-        codec: Box<dyn Dialect>,
+        codec: Box<dyn Codec>,
         packets: Packets,
-        dropped: Option<Dropped>,
+        dropped_lines: Option<DropCounter>,
         policy: Policy,
     ) -> anyhow::Result<Rc<Self>> {
-        let memory = Budget::new(settings.bodies);
+        let memory = Budget::new(settings.body_memory_bytes);
         let hasher = Hasher::new(&settings.peer.key);
         let clock = Monotonic::default();
         let start = Start::new(
             clock.now(),
             start::Options {
-                seed: settings.peer.seed,
-                first: settings.first,
+                seed: settings.peer.is_seed,
+                first: settings.first_fleet_start,
                 seeds: settings.peer.seeds.clone(),
-                waits: settings.peer.waits,
+                waits: settings.peer.start_timeouts,
                 random: rand::random(),
             },
         );
-        let world = World::new(settings.heartbeat);
-        let mut core = Core::new(settings.place.clone(), settings.budget, policy);
-        core.set_headroom(settings.excess);
+        let world = World::new(settings.heartbeat_interval);
+        let mut core = Core::new(settings.place.clone(), settings.retry_budget, policy);
+        core.set_headroom(settings.warmup_headroom);
         Ok(Rc::new(Self {
             core: RefCell::new(core),
             settings,
@@ -164,7 +164,7 @@
             update_ready: Notify::new(),
             phase: watch::Sender::new(Phase::Serving),
             log_limiter: Limiter::default(),
-            dropped,
+            dropped_lines,
             running: Cell::new(0),
             last_request: Cell::new(rand::random()),
             metrics: Metrics::new()?,
@@ -180,7 +180,7 @@
     }
 
     /// Whether the balancer may send new callers here.
-    pub(crate) fn ready(&self) -> bool {
+    pub(crate) fn is_ready(&self) -> bool {
         self.phase() == Phase::Serving
             && self.upstreams_known.get()
             && self.evacuations_checked.get()
@@ -271,13 +271,13 @@
         set(&gauges.running, u64::from(self.running.get()));
         set(&gauges.idle_connections, self.pools.len() as u64);
         set(&gauges.lines_left_out, self.log_limiter.left_out());
-        set(&gauges.lines_dropped, self.dropped.as_ref().map_or(0, Dropped::count));
+        set(&gauges.lines_dropped, self.dropped_lines.as_ref().map_or(0, DropCounter::count));
         set(&gauges.free_memory_bytes, self.memory.free_bytes() as u64);
         set(&gauges.hosted, self.hops.hosted() as u64);
         let (quarantined, suspected) = core.quarantine.counts();
         set(&gauges.quarantined, quarantined as u64);
         set(&gauges.suspected, suspected as u64);
-        set(&gauges.ready, u64::from(self.ready()));
+        set(&gauges.ready, u64::from(self.is_ready()));
     }
 
     /// A number that differs from request to request.
--- a/crates/tgw-gateway/src/stale.rs
+++ b/crates/tgw-gateway/src/stale.rs
@@ -59,7 +59,7 @@
     if shared.world.borrow().upstreams.version() > 0 {
         return;
     }
-    let decode = |o: &Object| shared.codec.upstream(&o.name, &o.value).ok();
+    let decode = |o: &Object| shared.codec.decode_upstream(&o.name, &o.value).ok();
     let entries: Vec<Entry> = objects.iter().filter_map(decode).collect();
     tracing::info!(
         upstreams = entries.len(),
--- a/crates/tgw-gateway/src/unreadable.rs
+++ b/crates/tgw-gateway/src/unreadable.rs
@@ -1,4 +1,4 @@
-use crate::dialect::Finding;
+use crate::codec::Finding;
 use std::collections::HashMap;
 
 /// Most entries whose findings are remembered; further ones show only in the number logged with
--- a/crates/tgw-gateway/src/watch/configuration.rs
+++ b/crates/tgw-gateway/src/watch/configuration.rs
@@ -1,5 +1,5 @@
 use super::Topic;
-use crate::{dialect::Decoded, shared::Shared};
+use crate::{codec::Decoded, shared::Shared};
 use std::rc::Rc;
 use tgw_platform::{Object, Version};
 use tgw_spread::follow::Way;
@@ -19,7 +19,7 @@
         if object.name != self.shared.codec.kinds().config_name || object.value.is_null() {
             return;
         }
-        match self.shared.codec.config(&object.value) {
+        match self.shared.codec.decode_config(&object.value) {
             Ok(Decoded { value, findings }) => {
                 for finding in findings {
                     tracing::warn!(%finding, revision = object.version,
--- a/crates/tgw-gateway/src/watch/upstreams.rs
+++ b/crates/tgw-gateway/src/watch/upstreams.rs
@@ -1,5 +1,5 @@
 use super::Topic;
-use crate::{dialect::Finding, shared::Shared, telemetry, unreadable::Unreadable};
+use crate::{codec::Finding, shared::Shared, telemetry, unreadable::Unreadable};
 use std::rc::Rc;
 use tgw_forward::upstream::Entry;
 use tgw_platform::{Object, Version};
@@ -19,7 +19,7 @@
     }
 
     fn decode(&mut self, object: &Object) -> Result<Entry, Rc<str>> {
-        let decoded = self.shared.codec.upstream(&object.name, &object.value);
+        let decoded = self.shared.codec.decode_upstream(&object.name, &object.value);
         let result = decoded.and_then(|entry| self.check_start(entry)).map_err(|findings| {
             self.unreadable.log_once(&object.name, &findings, object.version);
             object.name.as_str().into()
@@ -37,8 +37,8 @@
         let core = self.shared.core.borrow();
         let known = core.fleet.key(&entry.id).and_then(|key| core.fleet.get(key));
         if entry.started == 0 && known.is_some_and(|u| u.entry.started > 0) {
-            let place = format!("upstream {}", entry.id);
-            return Err(vec![Finding { place, what: "the start time is missing".into() }]);
+            let path = format!("upstream {}", entry.id);
+            return Err(vec![Finding { path, problem: "the start time is missing".into() }]);
         }
         Ok(entry)
     }
--- a/crates/tgw-gateway/tests/gateway.rs
+++ b/crates/tgw-gateway/tests/gateway.rs
@@ -34,14 +34,14 @@
 fn logging_into_a_blocked_pipe_drops_lines_instead_of_blocking() {
     const LINES: u64 = 20_000;
     let (unblock, blocked) = mpsc::channel();
-    let Log { subscriber, dropped, guard } = log::open(BlockedPipe(blocked), "info").unwrap();
+    let Log { subscriber, dropped_lines, guard } = log::open(BlockedPipe(blocked), "info").unwrap();
     tracing::subscriber::with_default(subscriber, || {
         for request in 0..LINES {
             tracing::info!(request, "send ended");
         }
     });
     // The writer holds one line, the buffer the others.
-    let kept = LINES - dropped.count();
+    let kept = LINES - dropped_lines.count();
     assert!(kept <= BUFFER_LINES as u64 + 1, "{kept} kept");
     assert!(kept >= BUFFER_LINES as u64, "{kept} kept");
     drop(unblock);
--- a/crates/tgw-operate/src/quarantine.rs
+++ b/crates/tgw-operate/src/quarantine.rs
@@ -3,19 +3,19 @@
 use crate::call;
 use hyper::{Method, StatusCode};
 use std::{fmt::Write, net::SocketAddr};
-use tgw_gateway::quarantine::{Held, PATH};
+use tgw_gateway::quarantine::{HTTP_PATH, QuarantinedRequest};
 use tgw_quarantine::Fingerprint;
 
 /// Fetches the quarantined requests of a VM from its readiness address.
-pub async fn fetch(addr: SocketAddr) -> anyhow::Result<Vec<Held>> {
-    let (status, body) = call::call(addr, Method::GET, PATH, None).await?;
+pub async fn fetch(addr: SocketAddr) -> anyhow::Result<Vec<QuarantinedRequest>> {
+    let (status, body) = call::call(addr, Method::GET, HTTP_PATH, None).await?;
     call::decode(addr, status, &body)
 }
 
 /// Makes a VM release a request from quarantine and notify the other VMs. Returns false if the request is
 /// not quarantined there.
 pub async fn release(addr: SocketAddr, fingerprint: Fingerprint) -> anyhow::Result<bool> {
-    let path = format!("{PATH}/{fingerprint}");
+    let path = format!("{HTTP_PATH}/{fingerprint}");
     let (status, _) = call::call(addr, Method::DELETE, &path, None).await?;
     anyhow::ensure!(
         status.is_success() || status == StatusCode::NOT_FOUND,
@@ -25,7 +25,7 @@
 }
 
 /// Formats quarantined requests as a table for people.
-pub fn render(entries: &[Held]) -> String {
+pub fn render(entries: &[QuarantinedRequest]) -> String {
     let mut out = String::new();
     let _ = writeln!(
         out,
@@ -33,12 +33,12 @@
         "fingerprint", "held", "ended", "trials", "trial in", "last seen"
     );
     for entry in entries {
-        let scope = if entry.everywhere { "everywhere" } else { "services" };
-        let (wait, idle) = (entry.wait_ms / 1_000, entry.idle_ms / 1_000);
+        let scope = if entry.at_all_services { "everywhere" } else { "services" };
+        let (wait, idle) = (entry.next_trial_in_ms / 1_000, entry.last_request_ms / 1_000);
         let _ = writeln!(
             out,
             "{:<26} {scope:<10} {:>5} {:>6} {wait:>8}s {idle:>8}s",
-            entry.print, entry.ended, entry.trials
+            entry.fingerprint, entry.upstreams_ended, entry.trials
         );
     }
     out
--- a/crates/tgw-soak/src/callers.rs
+++ b/crates/tgw-soak/src/callers.rs
@@ -117,7 +117,7 @@
             .method(method)
             .uri(kind.path())
             .header("host", "a.example")
-            .header(names.request, identity)
+            .header(names.request_id, identity)
             .header(names.deadline, DEADLINE_MS)
             .body(Full::new(body))
             .ok()?;
--- a/crates/tgw-soak/src/check.rs
+++ b/crates/tgw-soak/src/check.rs
@@ -142,7 +142,7 @@
 }
 
 fn single(identity: &str, answer: &Answer) -> Option<String> {
-    let given = answer.headers.get(names().seal).and_then(|v| v.to_str().ok());
+    let given = answer.headers.get(names().signature).and_then(|v| v.to_str().ok());
     if given != Some(&seal(SINGLE, identity)) {
         return Some(format!("signature {given:?}"));
     }
@@ -151,13 +151,14 @@
 
 fn merged(identity: &str, answer: &Answer) -> Option<String> {
     let header = |name| answer.headers.get(name).and_then(|v| v.to_str().ok());
-    let seals: Vec<&str> = header(names().parts)?.split(',').map(str::trim).collect();
-    let missing: usize = header(names().missing).and_then(|m| m.parse().ok()).unwrap_or(0);
+    let signatures: Vec<&str> =
+        header(names().part_signatures)?.split(',').map(str::trim).collect();
+    let missing: usize = header(names().missing_parts).and_then(|m| m.parse().ok()).unwrap_or(0);
     let all = shards();
     let parts: BTreeSet<&String> =
-        all.iter().filter(|s| seals.contains(&seal(s, identity).as_str())).collect();
-    if parts.len() != seals.len() {
-        return Some(format!("signatures {seals:?}"));
+        all.iter().filter(|s| signatures.contains(&seal(s, identity).as_str())).collect();
+    if parts.len() != signatures.len() {
+        return Some(format!("signatures {signatures:?}"));
     }
     if parts.len() + missing != all.len() {
         return Some(format!("{} parts and {missing} missing of {}", parts.len(), all.len()));
