--- a/crates/tgw-bench/src/leaving/peers.rs
+++ b/crates/tgw-bench/src/leaving/peers.rs
@@ -40,7 +40,7 @@
                     self.request_update(vm, addr, catalog_version.max(evacuations_version));
                 }
                 Action::Paused(gap) => {
-                    self.vms[vm].view.with_upstreams(|view| view.exclude_pause(gap))
+                    self.vms[vm].view.with_upstreams(|view| view.exclude_pause(gap));
                 }
                 Action::DirectoryChanged => {}
             }
--- a/crates/tgw-bench/src/leaving/simulation.rs
+++ b/crates/tgw-bench/src/leaving/simulation.rs
@@ -242,7 +242,9 @@
                         self.vms[vm].view.with_upstreams(|view| view.record_probe_answer(self.now));
                     }
                     ProbeResult::TimedOut => {
-                        self.vms[vm].view.with_upstreams(|view| view.record_store_failure(self.now))
+                        self.vms[vm]
+                            .view
+                            .with_upstreams(|view| view.record_store_failure(self.now));
                     }
                     ProbeResult::Refused => {}
                 }
--- a/crates/tgw-bench/src/overload/run.rs
+++ b/crates/tgw-bench/src/overload/run.rs
@@ -24,8 +24,8 @@
     fleet::{Hop, Key, Ticket},
     hosting,
     load::Load,
-    plan::{self, Answer, Ended, Order, Response},
-    upstream::Sign,
+    plan::{self, Answer, Response, SendOrder, SendResult},
+    upstream::SendOutcome,
 };
 use tgw_quarantine::message::{Termination, Update};
 use tgw_route::Route;
@@ -96,14 +96,14 @@
         query: usize,
         part: usize,
         ticket: Ticket,
-        sign: Sign,
-        ended: Ended,
+        outcome: SendOutcome,
+        result: SendResult,
     },
     /// A send that a VM hosted for a peer ended there.
     Hosted {
         vm: usize,
         ticket: Ticket,
-        sign: Sign,
+        outcome: SendOutcome,
         load: Option<Load>,
     },
     Restart,
@@ -137,9 +137,9 @@
 }
 
 /// The load reported with a send's reply.
-fn reported_load(ended: &Ended) -> Option<Load> {
-    match ended {
-        Ended::Answered(response) => response.load,
+fn reported_load(result: &SendResult) -> Option<Load> {
+    match result {
+        SendResult::Answered(response) => response.load,
         _ => None,
     }
 }
@@ -241,16 +241,16 @@
             match self.events.remove(&number) {
                 Some(Event::Arrive(query)) => self.arrive(now, query),
                 Some(Event::Wake(query)) => self.wake(now, query),
-                Some(Event::Ended { vm, query, part, ticket, sign, ended }) => {
-                    let load = reported_load(&ended);
+                Some(Event::Ended { vm, query, part, ticket, outcome, result }) => {
+                    let load = reported_load(&result);
                     self.record_load(now, vm, ticket, load);
-                    self.record_end(now, vm, ticket, sign);
+                    self.record_end(now, vm, ticket, outcome);
                     let upstream = ticket.upstream;
-                    self.step(now, query, plan::Event::Ended { part, upstream, ended });
+                    self.step(now, query, plan::Event::SendEnded { part, upstream, result });
                 }
-                Some(Event::Hosted { vm, ticket, sign, load }) => {
+                Some(Event::Hosted { vm, ticket, outcome, load }) => {
                     self.record_load(now, vm, ticket, load);
-                    self.record_end(now, vm, ticket, sign);
+                    self.record_end(now, vm, ticket, outcome);
                 }
                 Some(Event::Restart) => self.restart(),
                 Some(Event::End { upstream, generation }) => self.end(now, upstream, generation),
@@ -272,7 +272,13 @@
         let route = self.routes[usize::from(!query.full)].clone();
         let left = query.first + query.timeout() - now;
         let (spread, print) = (query.seed as u32, query.fingerprint());
-        let options = plan::Options { route, patience: Some(left), opened: false, spread, print };
+        let options = plan::Options {
+            route,
+            caller_timeout: Some(left),
+            new_connection: false,
+            retry_spread: spread,
+            fingerprint: print,
+        };
         let plan = Plan::new(now, &options);
         let running = Running { plan, query, sends: 0, wake: Millis::MAX };
         self.running.insert(number, running);
@@ -290,8 +296,8 @@
         let vm = running.query.vm;
         let mut orders = Vec::new();
         let core = &mut self.vms[vm].core;
-        let answer = running.plan.on(now, event, core, &mut orders);
-        let late = running.plan.take_late();
+        let answer = running.plan.handle(now, event, core, &mut orders);
+        let late = running.plan.take_late_upstreams();
         for order in orders {
             self.send(now, number, &mut running, &order);
         }
@@ -299,7 +305,7 @@
         if let Some(answer) = answer {
             return self.answered(now, &running, &answer);
         }
-        running.wake = running.plan.wake(now);
+        running.wake = running.plan.next_wakeup(now);
         self.schedule(running.wake, Event::Wake(number));
         self.running.insert(number, running);
     }
@@ -329,17 +335,17 @@
         self.queries.insert(number, query);
     }
 
-    fn send(&mut self, now: Millis, number: usize, running: &mut Running, order: &Order) {
-        let Order { part, ticket, hop, why, seen, .. } = *order;
+    fn send(&mut self, now: Millis, number: usize, running: &mut Running, order: &SendOrder) {
+        let SendOrder { part, ticket, hop, trigger, seen, .. } = *order;
         let vm = running.query.vm;
         let Some(upstream) = self.index(vm, ticket.upstream) else { return };
         let region = upstream % REGIONS;
         let delay = self.pool.delay(running.query.region, region);
         running.sends += 1;
-        self.tally.send(&running.query, why, region);
+        self.tally.send(&running.query, trigger, region);
         let host = (hop == Hop::Peer).then(|| self.host(now + delay, upstream, order));
-        let (at, sign, ended) = match host {
-            Some(None) => (now + delay, Sign::Busy, Ended::Busy),
+        let (at, outcome, result) = match host {
+            Some(None) => (now + delay, SendOutcome::PeerRefused, SendResult::PeerRefused),
             _ => {
                 let outcome = self.outcome(now + delay, upstream, (number, part), running);
                 self.send_result(now + delay, outcome, running, (part, upstream))
@@ -348,14 +354,16 @@
         let hosted = host.flatten();
         let (from, print) = (hosted.map_or(vm, |(vm, _)| vm), running.query.fingerprint());
         // A new connection shows that the upstream is still there and only its reply was lost.
-        let reconnects = sign == Sign::Broken && self.policy.quarantine;
+        let reconnects = outcome == SendOutcome::Broken && self.policy.quarantine;
         let reconnect_delay = self.pool.delay(self.vms[from].region, region).scale(2.0);
         let at = if reconnects { at + reconnect_delay } else { at };
-        let load = reported_load(&ended);
-        let hosted =
-            hosted.map(|(vm, ticket)| self.schedule(at, Event::Hosted { vm, ticket, sign, load }));
-        let ended = self
-            .schedule(at + delay, Event::Ended { vm, query: number, part, ticket, sign, ended });
+        let load = reported_load(&result);
+        let hosted = hosted
+            .map(|(vm, ticket)| self.schedule(at, Event::Hosted { vm, ticket, outcome, load }));
+        let ended = self.schedule(
+            at + delay,
+            Event::Ended { vm, query: number, part, ticket, outcome, result },
+        );
         let arrives = now + delay;
         self.record_in_flight(
             upstream,
@@ -388,7 +396,7 @@
     }
 
     /// A VM of the upstream's region hosts a send for a peer, unless it suspects the upstream.
-    fn host(&mut self, at: Millis, upstream: usize, order: &Order) -> Option<(usize, Ticket)> {
+    fn host(&mut self, at: Millis, upstream: usize, order: &SendOrder) -> Option<(usize, Ticket)> {
         let region = upstream % REGIONS;
         let near: Vec<usize> =
             (0..self.size.vms).filter(|v| self.vms[*v].region == region).collect();
@@ -398,7 +406,7 @@
         let request = hosting::Request {
             upstream: &id,
             started: 0,
-            insist: order.insist,
+            fallback: order.fallback,
             lent: order.lent,
             route: None,
         };
@@ -413,37 +421,40 @@
         outcome: Outcome,
         running: &Running,
         (part, upstream): (usize, usize),
-    ) -> (Millis, Sign, Ended) {
+    ) -> (Millis, SendOutcome, SendResult) {
         let deadline = running.plan.deadline().max(at);
         match outcome {
             Outcome::Done(end) if end <= deadline => {
-                let seal = HeaderValue::from_str(&format!("{part}.{}", running.query.seed)).ok();
+                let signature =
+                    HeaderValue::from_str(&format!("{part}.{}", running.query.seed)).ok();
                 let (status, headers, body) = (StatusCode::OK, HeaderMap::new(), Bytes::new());
                 let draw = running.query.draw(part, running.sends, upstream + LOAD_DRAW_OFFSET);
                 let load = Some(self.pool.upstreams[upstream].load(end, draw));
-                let response = Response { status, headers, seal, load, body };
-                (end, Sign::Reply, Ended::Answered(Box::new(response)))
+                let response = Response { status, headers, signature, load, body };
+                (end, SendOutcome::Reply, SendResult::Answered(Box::new(response)))
+            }
+            Outcome::ReplyLost(end) if end <= deadline => {
+                (end, SendOutcome::Broken, SendResult::Broken)
             }
-            Outcome::ReplyLost(end) if end <= deadline => (end, Sign::Broken, Ended::Broken),
-            Outcome::Shed => (at, Sign::Shed, Ended::Declined),
-            Outcome::Refused => (at, Sign::Unreachable, Ended::Unsent),
+            Outcome::Shed => (at, SendOutcome::Shed, SendResult::Declined),
+            Outcome::Refused => (at, SendOutcome::Unreachable, SendResult::NotConnected),
             // The event of the upstream's end breaks these requests earlier.
             Outcome::Ends(_) | Outcome::Done(_) | Outcome::ReplyLost(_) | Outcome::Unanswered => {
-                (deadline, Sign::Silent, Ended::Silent)
+                (deadline, SendOutcome::TimedOut, SendResult::TimedOut)
             }
         }
     }
 
     fn record_load(&mut self, now: Millis, vm: usize, ticket: Ticket, load: Option<Load>) {
         if let Some(load) = load {
-            self.vms[vm].core.fleet.loaded(now, ticket.upstream, load);
+            self.vms[vm].core.fleet.record_load(now, ticket.upstream, load);
         }
     }
 
     /// Records the end of a send, whether or not its query still waits.
-    fn record_end(&mut self, now: Millis, vm: usize, ticket: Ticket, sign: Sign) {
-        self.vms[vm].core.fleet.end(now, ticket, sign);
-        if sign == Sign::Reply {
+    fn record_end(&mut self, now: Millis, vm: usize, ticket: Ticket, outcome: SendOutcome) {
+        self.vms[vm].core.fleet.record_outcome(now, ticket, outcome);
+        if outcome == SendOutcome::Reply {
             self.report_to_peers(now, vm, &[ticket.upstream]);
         }
     }
@@ -472,14 +483,14 @@
         let region = self.vms[vm].region;
         let mut reports: SmallVec<[_; 2]> = SmallVec::new();
         for key in keys {
-            if let Some((entry, report)) = self.vms[vm].core.fleet.tell(now, *key) {
+            if let Some((entry, report)) = self.vms[vm].core.fleet.take_report(now, *key) {
                 reports.push((entry.id.clone(), report));
             }
         }
         for (id, report) in reports {
             let others = self.vms.iter_mut().enumerate();
             let others = others.filter(|(other, v)| *other != vm && v.region == region);
-            others.for_each(|(_, v)| v.core.fleet.told(now, &id, 0, report));
+            others.for_each(|(_, v)| v.core.fleet.apply_report(now, &id, 0, report));
         }
     }
 }
--- a/crates/tgw-bench/src/overload/termination.rs
+++ b/crates/tgw-bench/src/overload/termination.rs
@@ -4,7 +4,7 @@
 };
 use rand::seq::index;
 use tgw_clock::Millis;
-use tgw_forward::{plan::Ended, upstream::Sign};
+use tgw_forward::{plan::SendResult, upstream::SendOutcome};
 use tgw_quarantine::{
     Fingerprint,
     message::{Rounds, Termination, Update},
@@ -65,19 +65,22 @@
                 );
             }
             let at = arrives.max(now);
-            let sign = if held { Sign::Broken } else { Sign::Unreachable };
+            let outcome = if held { SendOutcome::Broken } else { SendOutcome::Unreachable };
             if let Some(Event::Hosted { vm, ticket, .. }) =
                 hosted.and_then(|h| self.events.remove(&h))
             {
-                self.schedule(at + reconnect_delay, Event::Hosted { vm, ticket, sign, load: None });
+                self.schedule(
+                    at + reconnect_delay,
+                    Event::Hosted { vm, ticket, outcome, load: None },
+                );
             }
             if let Some(Event::Ended { vm, query, part, ticket, .. }) = self.events.remove(&ended) {
                 let delay = self.pool.delay(self.vms[vm].region, upstream % REGIONS);
-                let ended = if held { Ended::Gone } else { Ended::Unsent };
+                let result = if held { SendResult::Terminated } else { SendResult::NotConnected };
                 let extra_delay = if held { reconnect_delay } else { Millis::ZERO };
                 self.schedule(
                     at + delay + extra_delay,
-                    Event::Ended { vm, query, part, ticket, sign, ended },
+                    Event::Ended { vm, query, part, ticket, outcome, result },
                 );
             }
         }
@@ -93,7 +96,7 @@
     ) {
         let core = &mut self.vms[vm].core;
         if let Some(key) = core.fleet.key(&name(upstream, generation)) {
-            core.fleet.lost(now, key);
+            core.fleet.mark_unreachable(now, key);
         }
         core.quarantine.record_end(now, end);
         self.forward_updates(now, vm);
--- a/crates/tgw-bench/src/warmup/setup.rs
+++ b/crates/tgw-bench/src/warmup/setup.rs
@@ -1,6 +1,6 @@
 use serde::Serialize;
 use tgw_clock::Millis;
-use tgw_forward::warmup::Excess;
+use tgw_forward::warmup::Headroom;
 
 /// Kind of a fault.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
@@ -36,7 +36,7 @@
     /// Requests a second that the upstream accepts while it is cold.
     pub rate: f64,
     /// Headroom allowed beyond that rate.
-    pub headroom: Excess,
+    pub headroom: Headroom,
     /// VMs that hold a lease to send at the same time.
     pub holders: usize,
     /// Requested rate, as a multiple of `rate`.
@@ -48,7 +48,7 @@
 }
 
 /// Headroom beyond an upstream's cold rate: a factor and a constant.
-const DEFAULT_HEADROOM: Excess = Excess { factor: 1.5, constant: 5.0 };
+const DEFAULT_HEADROOM: Headroom = Headroom { factor: 1.5, constant: 5.0 };
 /// When faults begin and end.
 const FAULT_START_MS: Millis = Millis::new(6_000);
 const FAULT_END_MS: Millis = Millis::new(11_000);
--- a/crates/tgw-bench/src/warmup/simulation.rs
+++ b/crates/tgw-bench/src/warmup/simulation.rs
@@ -11,10 +11,10 @@
 use tgw_clock::Millis;
 use tgw_forward::{
     Scope,
-    core::Way,
+    core::SendMode,
     fleet::{Hop, Ticket},
     hosting::Request,
-    upstream::Sign,
+    upstream::SendOutcome,
 };
 use tgw_member::{Action, Event, Packet, Record};
 
@@ -133,7 +133,7 @@
                 self.vms[vm].update_candidates(self.now);
             }
             Scheduled::Packet { to, from, packet } => {
-                self.vms[to].core.fleet.heard(self.now);
+                self.vms[to].core.fleet.record_contact(self.now);
                 self.handle_member_event(to, Event::Packet(from, packet));
             }
             Scheduled::Records { to, records } => {
@@ -143,7 +143,7 @@
             Scheduled::Host { to } => self.host(to),
             Scheduled::Write { vm, ticket } => self.write(vm, ticket),
             Scheduled::SendEnds { vm, ticket } => {
-                self.vms[vm].core.fleet.end(self.now, ticket, Sign::Reply);
+                self.vms[vm].core.fleet.record_outcome(self.now, ticket, SendOutcome::Reply);
             }
             Scheduled::FaultBegins(number) => self.begin_fault(number),
             Scheduled::FaultEnds(number) => self.end_fault(number),
@@ -201,11 +201,11 @@
         if state.is_down || state.paused_until > now {
             return;
         }
-        let most = state.core.most(SERVICE, Way::Peers);
+        let most = state.core.send_limits(SERVICE, SendMode::Peers);
         let choice = state.core.fleet.pick(now, SERVICE, most, &[], Scope::default());
         let Some(choice) = choice else { return };
-        let lease_holder = state.core.fleet.through(now, choice.key).map(|holder| holder.addr);
-        let ticket = state.core.fleet.send(now, choice.key);
+        let lease_holder = state.core.fleet.lease_holder(now, choice.key).map(|holder| holder.addr);
+        let ticket = state.core.fleet.record_send(now, choice.key);
         match (choice.hop, lease_holder) {
             (Hop::Direct, _) => self.connect(vm, ticket),
             (Hop::Peer, Some(addr)) => {
@@ -221,13 +221,15 @@
                     Scheduled::SendEnds { vm, ticket },
                 );
             }
-            (Hop::Peer, None) => self.vms[vm].core.fleet.end(now, ticket, Sign::Busy),
+            (Hop::Peer, None) => {
+                self.vms[vm].core.fleet.record_outcome(now, ticket, SendOutcome::PeerRefused);
+            }
         }
     }
 
     fn host(&mut self, vm: usize) {
         let request =
-            Request { upstream: UPSTREAM, started: 0, insist: false, lent: false, route: None };
+            Request { upstream: UPSTREAM, started: 0, fallback: false, lent: false, route: None };
         if let Ok(ticket) = self.vms[vm].core.host(self.now, request) {
             self.connect(vm, ticket);
         }
@@ -240,8 +242,8 @@
 
     fn write(&mut self, vm: usize, ticket: Ticket) {
         let fleet = &mut self.vms[vm].core.fleet;
-        if !fleet.write(self.now, ticket) {
-            return fleet.end(self.now, ticket, Sign::Busy);
+        if !fleet.authorize_write(self.now, ticket) {
+            return fleet.record_outcome(self.now, ticket, SendOutcome::PeerRefused);
         }
         self.written.push(self.now);
         self.schedule(self.now + REQUEST_MS, Scheduled::SendEnds { vm, ticket });
--- a/crates/tgw-gateway/src/peers.rs
+++ b/crates/tgw-gateway/src/peers.rs
@@ -17,14 +17,14 @@
 use tgw_clock::Millis;
 use tgw_forward::{
     core::Vms,
-    upstream::Word,
-    warmup::{REMEMBERED, Roster, Seat},
+    upstream::PeerReport,
+    warmup::{Candidate, Candidates, DEAD_VM_LEASE_RETENTION_MS},
 };
 use tgw_member::{Action, Event, Member};
 use tgw_owner::{Directory, State};
 use tgw_spread::{
     Message,
-    message::{Datagram, PeerReport, Versions},
+    message::{self, Datagram, Versions},
     start::{self, PeerState},
 };
 use tgw_topology::Vm;
@@ -169,7 +169,7 @@
             .drop_expired(self.shared.now(), &mut core.fleet);
         drop(core);
         if removed {
-            telemetry::suspicion_changes(&self.shared);
+            telemetry::retention_changes(&self.shared);
         }
     }
 
@@ -195,7 +195,7 @@
         for action in actions {
             match action {
                 start::Action::QueryVersions(addr) => {
-                    self.shared.packets.send(addr, &Datagram::VersionQuery)
+                    self.shared.packets.send(addr, &Datagram::VersionQuery);
                 }
                 start::Action::RequestState(addr) => self.request_state(addr, versions),
             }
@@ -223,17 +223,18 @@
     fn on_packet(self: &Rc<Self>, received_packet: Result<Datagram, Error>, from: SocketAddr) {
         match received_packet {
             Ok(Datagram::Member(member_packet)) => {
-                self.shared.core.borrow_mut().fleet.heard(self.shared.now());
+                self.shared.core.borrow_mut().fleet.record_contact(self.shared.now());
                 self.on_member_event(Event::Packet(from, member_packet));
             }
             Ok(Datagram::PeerReports(reports)) => {
                 let now = self.shared.now();
                 let mut core = self.shared.core.borrow_mut();
                 for peer_report in reports {
-                    let PeerReport { upstream, started, overdue, expected_latency_ms } =
+                    let message::PeerReport { upstream, started, overdue, expected_latency_ms } =
                         peer_report;
-                    let report = Word { overdue, expected: f64::from(expected_latency_ms) };
-                    core.fleet.told(now, &upstream, started, report);
+                    let report =
+                        PeerReport { overdue, expected_latency_ms: f64::from(expected_latency_ms) };
+                    core.fleet.apply_report(now, &upstream, started, report);
                 }
             }
             Ok(Datagram::Hop(request)) => hop::accept(&self.shared, from, *request),
@@ -249,7 +250,7 @@
                 quarantine::apply_update(&self.shared, from, &update);
             }
             Ok(Datagram::VersionReply(state)) => {
-                self.on_start_event(start::Event::VersionReply(from, state))
+                self.on_start_event(start::Event::VersionReply(from, state));
             }
             Err(error) => tracing::debug!(%error, %from, "packet refused"),
         }
@@ -341,38 +342,44 @@
         let other_vms = others().map(|(vm, _)| vm.0).collect();
         self.shared.core.borrow_mut().quarantine.set_vms(own.0, other_vms);
         let count = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
-        let vms = Vms { all: count(all), near: count(near) };
+        let vms = Vms { all: count(all), in_region: count(near) };
         // At its start a VM knows no other VM, and would claim all connections as its own share.
         if !self.is_settled() && vms.all <= self.shared.core.borrow().vms().all {
             return;
         }
         let mut core = self.shared.core.borrow_mut();
         if self.is_settled() {
-            core.fleet.set_roster(self.roster(&directory));
+            core.fleet.set_candidates(self.candidates(&directory));
         }
         if core.vms() != vms {
-            tracing::info!(vms = vms.all, near = vms.near, before = core.vms().all, "VMs counted");
+            tracing::info!(
+                vms = vms.all,
+                near = vms.in_region,
+                before = core.vms().all,
+                "VMs counted"
+            );
             core.set_vms(vms);
         }
     }
 
     /// The VMs that can hold leases to send to cold upstreams. A leaving VM releases its leases by
     /// itself.
-    fn roster(&self, directory: &Directory) -> Roster {
+    fn candidates(&self, directory: &Directory) -> Candidates {
         let member = self.member.borrow();
-        let mut domains: BTreeMap<Rc<str>, Vec<Seat>> = BTreeMap::new();
+        let mut domains: BTreeMap<Rc<str>, Vec<Candidate>> = BTreeMap::new();
         for (vm, entry) in &directory.members {
-            let Some(domain) = self.shared.settings.place.numbered(entry.place.domain.0) else {
+            let Some(domain) = self.shared.settings.place.domain_by_number(entry.place.domain.0)
+            else {
                 continue;
             };
             if entry.state == State::Leaving {
                 continue;
             }
-            let dead_until = member.departed_since(*vm).map(|at| at + REMEMBERED);
-            let seat = Seat { vm: vm.0, addr: entry.addr, dead_until };
-            domains.entry(domain.into()).or_default().push(seat);
+            let dead_until = member.departed_since(*vm).map(|at| at + DEAD_VM_LEASE_RETENTION_MS);
+            let candidate = Candidate { vm: vm.0, addr: entry.addr, dead_until };
+            domains.entry(domain.into()).or_default().push(candidate);
         }
-        Roster::new(Vm::from_name(&self.shared.settings.vm).0, domains)
+        Candidates::new(Vm::from_name(&self.shared.settings.vm).0, domains)
     }
 
     /// Updates the addresses of the live VMs of other regions.
@@ -380,7 +387,7 @@
         let place = &self.shared.settings.place;
         let mut hosts = Hosts::default();
         for (_, member) in directory.owners() {
-            let Some(domain) = place.numbered(member.place.domain.0) else { continue };
+            let Some(domain) = place.domain_by_number(member.place.domain.0) else { continue };
             let Some(region) = place.regions.get(domain) else { continue };
             hosts.domains.entry(domain.into()).or_default().push(member.addr);
             hosts.regions.entry(region.clone()).or_default().push(member.addr);
@@ -389,7 +396,7 @@
             hosts.regions.remove(own);
         }
         let served_regions = hosts.regions.keys().cloned().collect();
-        self.shared.core.borrow_mut().fleet.set_manned(served_regions);
+        self.shared.core.borrow_mut().fleet.set_peer_regions(served_regions);
         self.shared.hops.set_hosts(hosts);
     }
 
--- a/crates/tgw-gateway/src/shared.rs
+++ b/crates/tgw-gateway/src/shared.rs
@@ -1,5 +1,5 @@
 use crate::{
-    Dialect, Settings, broken::Sends, headers, hop::Hops, log::Dropped, log_limiter::Limiter,
+    Codec, Settings, broken::Sends, headers, hop::Hops, log::DropCounter, log_limiter::Limiter,
     memory::Budget, metrics::Metrics, packets::Packets, pool::Pools, request_heads::RequestHeads,
 };
 use http::{HeaderMap, Uri};
@@ -9,12 +9,11 @@
     sync::atomic::{AtomicU64, Ordering},
 };
 use tgw_clock::{Clock, Millis, Monotonic};
-use tgw_forward::{Core, Policy, fleet::Key, upstream::Word};
+use tgw_forward::{Core, Policy, fleet::Key, upstream::PeerReport};
 use tgw_quarantine::fingerprint::Hasher;
 use tgw_route::{Config, Limits, Route, Table};
 use tgw_spread::{
-    Bootstrap, ReplicatedState,
-    message::PeerReport,
+    Bootstrap, ReplicatedState, message,
     start::{self, Event},
     store_reads::Reachability,
 };
@@ -71,7 +70,7 @@
 /// State shared by the tasks of the serving thread. Borrows must not be held across an await.
 pub(crate) struct Shared {
     pub(crate) settings: Settings,
-    pub(crate) codec: Box<dyn Dialect>,
+    pub(crate) codec: Box<dyn Codec>,
     pub(crate) clock: Monotonic,
     pub(crate) core: RefCell<Core>,
     pub(crate) pools: Pools,
@@ -103,12 +102,12 @@
     /// Number of VMs of this domain that cannot reach the store.
     pub(crate) peers_without_store: Cell<usize>,
     /// Reports on slow upstreams that are still to be sent to other VMs.
-    pub(crate) pending_reports: RefCell<Vec<PeerReport>>,
+    pub(crate) pending_reports: RefCell<Vec<message::PeerReport>>,
     /// Notified when there is an update for other VMs.
     pub(crate) update_ready: Notify,
     pub(crate) phase: watch::Sender<Phase>,
     pub(crate) log_limiter: Limiter,
-    pub(crate) dropped: Option<Dropped>,
+    pub(crate) dropped_lines: Option<DropCounter>,
     pub(crate) metrics: Metrics,
     pub(crate) running: Cell<u32>,
     last_request: Cell<u32>,
@@ -117,27 +116,27 @@
 impl Shared {
     pub(crate) fn new(
         settings: Settings,
-        codec: Box<dyn Dialect>,
+        codec: Box<dyn Codec>,
         packets: Packets,
-        dropped: Option<Dropped>,
+        dropped_lines: Option<DropCounter>,
         policy: Policy,
     ) -> anyhow::Result<Rc<Self>> {
-        let memory = Budget::new(settings.bodies);
+        let memory = Budget::new(settings.body_memory_bytes);
         let hasher = Hasher::new(&settings.peer.key);
         let clock = Monotonic::default();
         let start = Bootstrap::new(
             clock.now(),
             start::Options {
-                is_seed: settings.peer.seed,
-                first_start: settings.first,
+                is_seed: settings.peer.is_seed,
+                first_start: settings.first_fleet_start,
                 seeds: settings.peer.seeds.clone(),
-                timeouts: settings.peer.waits,
+                timeouts: settings.peer.start_timeouts,
                 rng_seed: rand::random(),
             },
         );
-        let world = ReplicatedState::new(settings.heartbeat);
-        let mut core = Core::new(settings.place.clone(), settings.budget, policy);
-        core.set_excess(settings.excess);
+        let world = ReplicatedState::new(settings.heartbeat_interval);
+        let mut core = Core::new(settings.place.clone(), settings.retry_budget, policy);
+        core.set_headroom(settings.warmup_headroom);
         Ok(Rc::new(Self {
             core: RefCell::new(core),
             settings,
@@ -164,7 +163,7 @@
             update_ready: Notify::new(),
             phase: watch::Sender::new(Phase::Serving),
             log_limiter: Limiter::default(),
-            dropped,
+            dropped_lines,
             running: Cell::new(0),
             last_request: Cell::new(rand::random()),
             metrics: Metrics::new()?,
@@ -180,7 +179,7 @@
     }
 
     /// Whether the balancer may send new callers here.
-    pub(crate) fn ready(&self) -> bool {
+    pub(crate) fn is_ready(&self) -> bool {
         self.phase() == Phase::Serving
             && self.upstreams_known.get()
             && self.evacuations_checked.get()
@@ -245,15 +244,17 @@
         let mut core = self.core.borrow_mut();
         let mut reports = self.pending_reports.borrow_mut();
         for key in keys {
-            let Some((entry, Word { overdue, expected })) = core.fleet.tell(now, *key) else {
+            let Some((entry, PeerReport { overdue, expected_latency_ms })) =
+                core.fleet.take_report(now, *key)
+            else {
                 continue;
             };
             let (upstream, started) = (entry.id.clone(), entry.started);
-            reports.push(PeerReport {
+            reports.push(message::PeerReport {
                 upstream,
                 started,
                 overdue,
-                expected_latency_ms: expected as f32,
+                expected_latency_ms: expected_latency_ms as f32,
             });
         }
         if !reports.is_empty() {
@@ -274,13 +275,13 @@
         set(&gauges.running, u64::from(self.running.get()));
         set(&gauges.idle_connections, self.pools.len() as u64);
         set(&gauges.lines_left_out, self.log_limiter.left_out());
-        set(&gauges.lines_dropped, self.dropped.as_ref().map_or(0, Dropped::count));
+        set(&gauges.lines_dropped, self.dropped_lines.as_ref().map_or(0, DropCounter::count));
         set(&gauges.free_memory_bytes, self.memory.free_bytes() as u64);
         set(&gauges.hosted, self.hops.hosted() as u64);
         let (quarantined, suspected) = core.quarantine.counts();
         set(&gauges.quarantined, quarantined as u64);
         set(&gauges.suspected, suspected as u64);
-        set(&gauges.ready, u64::from(self.ready()));
+        set(&gauges.ready, u64::from(self.is_ready()));
     }
 
     /// A number that differs from request to request.
