--- a/crates/tgw-soak/src/callers.rs
+++ b/crates/tgw-soak/src/callers.rs
@@ -9,39 +9,38 @@
     time::{Instant, timeout},
 };
 
-/// How long a caller waits for its connection.
-const CONNECT: Duration = Duration::from_millis(1_000);
-/// How long a caller waits for its answer, beyond what it told the product.
-const PATIENCE: Duration = Duration::from_millis(4_000);
-/// What a caller tells the product that it waits, in ms.
-const DEADLINE_MS: u64 = 1_400;
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Time a caller waits for an answer; longer than the deadline that its request states.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(4_000);
+/// Deadline that a request states in its header.
+const REQUEST_DEADLINE_MS: u64 = 1_400;
 
-/// The path of the query under which upstreams end.
-pub(crate) const DEADLY: &str = "/all/deadly";
+/// Path of the query of death: every upstream process that starts to run it ends.
+pub(crate) const DEADLY_PATH: &str = "/all/deadly";
 
-/// What a request is for.
+/// Route of a request.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Kind {
-    /// All shards.
-    All,
-    /// One upstream, may be repeated.
-    Safe,
-    /// One upstream, at most once.
-    Once,
-    /// One upstream of one region, may be repeated.
-    Home,
-    /// All shards, and each upstream ends that begins to run it.
+    /// To all shards.
+    AllShards,
+    /// To one upstream; may be retried.
+    Idempotent,
+    /// To one upstream; runs at most once.
+    AtMostOnce,
+    /// To one upstream of the home region; may be retried.
+    HomeRegion,
+    /// To all shards; ends every upstream process that starts to run it.
     Deadly,
 }
 
 impl Kind {
     fn path(self) -> &'static str {
         match self {
-            Self::All => "/all/q?x=1",
-            Self::Safe => "/safe/q",
-            Self::Once => "/once/q",
-            Self::Home => "/home/q",
-            Self::Deadly => DEADLY,
+            Self::AllShards => "/all/q?x=1",
+            Self::Idempotent => "/safe/q",
+            Self::AtMostOnce => "/once/q",
+            Self::HomeRegion => "/home/q",
+            Self::Deadly => DEADLY_PATH,
         }
     }
 }
@@ -50,16 +49,16 @@
 #[derive(Debug)]
 pub(crate) struct Exchange {
     pub(crate) kind: Kind,
-    pub(crate) identity: String,
-    pub(crate) took: Duration,
-    /// `None` if no whole answer came.
+    pub(crate) request_id: String,
+    pub(crate) elapsed: Duration,
+    /// `None` if no complete answer was received.
     pub(crate) answer: Option<Answer>,
-    /// The VM that was asked.
+    /// Index of the VM that received the request.
     pub(crate) vm: usize,
-    pub(crate) sent: Instant,
+    pub(crate) sent_at: Instant,
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Debug)]
 pub(crate) struct Answer {
     pub(crate) status: StatusCode,
@@ -67,58 +66,66 @@
     pub(crate) body: Bytes,
 }
 
-/// A caller that keeps its connection until the VM closes it.
+/// A caller that reuses its connection until the VM closes it.
 pub(crate) struct Caller {
     pub(crate) vm: usize,
     connection: Option<SendRequest<Full<Bytes>>>,
 }
 
-/// What all callers saw.
-pub(crate) type Seen = Rc<RefCell<Vec<Exchange>>>;
+/// Exchanges of all callers.
+pub(crate) type Exchanges = Rc<RefCell<Vec<Exchange>>>;
 
 impl Caller {
     pub(crate) fn new(vm: usize) -> Self {
         Self { vm, connection: None }
     }
 
-    /// Whether the next request would go on a kept connection.
-    pub(crate) fn connected(&self) -> bool {
+    /// Whether the next request would reuse an open connection.
+    pub(crate) fn is_connected(&self) -> bool {
         self.connection.as_ref().is_some_and(|c| !c.is_closed())
     }
 
-    /// Sends one request and notes what came of it.
-    pub(crate) async fn ask(&mut self, to: SocketAddr, kind: Kind, identity: String, seen: &Seen) {
-        let sent = Instant::now();
-        let answer = timeout(PATIENCE, self.exchange(to, kind, &identity)).await;
+    /// Sends one request and records its outcome.
+    pub(crate) async fn send(
+        &mut self,
+        to: SocketAddr,
+        kind: Kind,
+        request_id: String,
+        exchanges: &Exchanges,
+    ) {
+        let sent_at = Instant::now();
+        let answer = timeout(RESPONSE_TIMEOUT, self.exchange(to, kind, &request_id)).await;
         let answer = answer.unwrap_or_default();
         if answer.is_none() {
             self.connection = None;
         }
-        let (took, vm) = (sent.elapsed(), self.vm);
-        seen.borrow_mut().push(Exchange { kind, identity, took, answer, vm, sent });
+        let (elapsed, vm) = (sent_at.elapsed(), self.vm);
+        exchanges.borrow_mut().push(Exchange { kind, request_id, elapsed, answer, vm, sent_at });
     }
 
-    async fn exchange(&mut self, to: SocketAddr, kind: Kind, identity: &str) -> Option<Answer> {
-        if !self.connected() {
-            let stream = timeout(CONNECT, TcpStream::connect(to)).await.ok()?.ok()?;
+    async fn exchange(&mut self, to: SocketAddr, kind: Kind, request_id: &str) -> Option<Answer> {
+        if !self.is_connected() {
+            let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(to)).await.ok()?.ok()?;
             let (sender, driver) = http1::handshake(TokioIo::new(stream)).await.ok()?;
-            // Its end shows at the next request.
+            // A closed connection is detected at the next request.
             tokio::task::spawn_local(async { drop(driver.await) });
             self.connection = Some(sender);
         }
         let connection = self.connection.as_mut()?;
         connection.ready().await.ok()?;
         let (method, body) = match kind {
-            Kind::Once => (Method::POST, Bytes::from_static(b"order")),
-            Kind::All | Kind::Safe | Kind::Home | Kind::Deadly => (Method::GET, Bytes::new()),
+            Kind::AtMostOnce => (Method::POST, Bytes::from_static(b"order")),
+            Kind::AllShards | Kind::Idempotent | Kind::HomeRegion | Kind::Deadly => {
+                (Method::GET, Bytes::new())
+            }
         };
         let names = tgw_site_standin::leaf::names();
         let request = Request::builder()
             .method(method)
             .uri(kind.path())
             .header("host", "a.example")
-            .header(names.request, identity)
-            .header(names.deadline, DEADLINE_MS)
+            .header(names.request, request_id)
+            .header(names.deadline, REQUEST_DEADLINE_MS)
             .body(Full::new(body))
             .ok()?;
         let response = connection.send_request(request).await.ok()?;
--- a/crates/tgw-soak/src/check.rs
+++ b/crates/tgw-soak/src/check.rs
@@ -1,6 +1,9 @@
 use crate::{
     callers::{Answer, Exchange, Kind},
-    world::{COLD, COLD_MOST, HOME, LEAST, LIMIT, SINGLE, World, shards},
+    environment::{
+        Environment, HOME, MAX_WARMUP_REQUESTS, MIN_SHARD_SHARE, RESULT_LIMIT, SINGLE_SERVICE,
+        WARMUP_TIME, shards,
+    },
 };
 use http::StatusCode;
 use std::{
@@ -11,26 +14,27 @@
 use tgw_site_standin::leaf::{Run, names, records, seal};
 use tokio::time::Instant;
 
-/// Length of a record, in bytes.
-const RECORD: usize = 16;
-/// The least share that is served after the faults.
-const RECOVERED: f64 = 0.9;
-/// Broken promises that are told in full.
-const TOLD: usize = 20;
-/// Time until an upstream's leaving is known everywhere, with the slack of a busy machine.
-const DRAIN: Duration = Duration::from_millis(5_000);
+const RECORD_BYTES: usize = 16;
+/// Minimum share of requests that must be served after the last fault.
+const MIN_RECOVERED_RATIO: f64 = 0.9;
+/// Maximum number of broken guarantees in a report.
+const MAX_REPORTED: usize = 20;
+/// Time within which all VMs know that an upstream leaves, including the delays of a busy machine.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(5_000);
 
-/// Time in which all VMs learn of a query under which three upstreams have ended.
-const KNOWN: Duration = Duration::from_millis(5_000);
-/// Time in which all VMs learn that a failure domain is evacuated.
-const EVACUATED: Duration = Duration::from_millis(5_000);
-/// Time after an evacuation's end by which its upstreams count as warm, if they say nothing else.
-const WARM_AGAIN: Duration = Duration::from_millis(5_000);
-const SECOND: Duration = Duration::from_millis(1_000);
-/// Times that it may still reach upstreams from then on.
-const DEADLY_MOST: usize = 3;
+/// Time within which all VMs quarantine a query that has ended three upstreams.
+const QUARANTINE_TIMEOUT: Duration = Duration::from_millis(5_000);
+/// Time within which all VMs know that a failure domain is evacuated.
+const EVACUATION_TIMEOUT: Duration = Duration::from_millis(5_000);
+/// Time after the end of an evacuation by which its upstreams count as warm unless they report
+/// otherwise.
+const REWARM_TIMEOUT: Duration = Duration::from_millis(5_000);
+/// Window in which the requests to a cold upstream are counted.
+const RATE_WINDOW: Duration = Duration::from_millis(1_000);
+/// Maximum number of times that a quarantined query may still reach upstreams.
+const MAX_DEADLY_RUNS: usize = 3;
 
-/// What a run showed.
+/// Result of a run.
 pub(crate) struct Report {
     pub(crate) asked: usize,
     pub(crate) served: usize,
@@ -47,45 +51,48 @@
     }
 }
 
-/// When each VM was disturbed; what happens near such a time is not held against it.
-pub(crate) type Disturbed = BTreeMap<usize, Vec<Instant>>;
+/// Times at which each VM was disturbed by a fault; failures near these times are tolerated.
+pub(crate) type Disturbances = BTreeMap<usize, Vec<Instant>>;
 
-/// Checks all promises over what callers and upstreams saw.
+/// Checks all guarantees against what callers and upstreams observed.
 pub(crate) fn check(
-    seen: &[Exchange],
-    world: &World,
-    disturbed: &Disturbed,
+    exchanges: &[Exchange],
+    environment: &Environment,
+    disturbances: &Disturbances,
     recovered: Instant,
 ) -> Report {
     let mut broken = Vec::new();
-    let runs = runs_by_request(world);
-    for exchange in seen {
-        let of_it = runs.get(exchange.identity.as_str()).map(Vec::as_slice).unwrap_or_default();
-        truth(exchange, of_it, &mut broken);
+    let runs = runs_by_request(environment);
+    for exchange in exchanges {
+        let request_runs =
+            runs.get(exchange.request_id.as_str()).map(Vec::as_slice).unwrap_or_default();
+        check_execution(exchange, request_runs, &mut broken);
         if let Some(answer) = &exchange.answer {
-            content(exchange, answer, &mut broken);
+            check_body(exchange, answer, &mut broken);
         }
-        // A caller of a VM that nothing disturbed gets an answer in time.
-        let calm = disturbed.get(&exchange.vm).is_none_or(|times| {
-            times.iter().all(|at| *at + DRAIN < exchange.sent || *at > exchange.sent + DRAIN)
+        // A VM that no fault disturbed must answer in time.
+        let undisturbed = disturbances.get(&exchange.vm).is_none_or(|times| {
+            times.iter().all(|at| {
+                *at + DRAIN_TIMEOUT < exchange.sent_at || *at > exchange.sent_at + DRAIN_TIMEOUT
+            })
         });
-        if calm && exchange.answer.is_none() {
-            broken.push(format!("{}: no answer in {:?}", exchange.identity, exchange.took));
+        if undisturbed && exchange.answer.is_none() {
+            broken.push(format!("{}: no answer in {:?}", exchange.request_id, exchange.elapsed));
         }
     }
-    recovery(seen, world, recovered, &mut broken);
-    held_back(seen, &runs, (world, disturbed), &mut broken);
-    strangers(seen, &runs, &mut broken);
-    drained(world, &mut broken);
-    at_home(world, &mut broken);
-    evacuated(world, &mut broken);
-    cold(world, &mut broken);
-    broken.truncate(TOLD);
+    check_recovery(exchanges, environment, recovered, &mut broken);
+    check_quarantine(exchanges, &runs, (environment, disturbances), &mut broken);
+    check_unknown_requests(exchanges, &runs, &mut broken);
+    check_drained(environment, &mut broken);
+    check_home_region(environment, &mut broken);
+    check_evacuated(environment, &mut broken);
+    check_cold(environment, &mut broken);
+    broken.truncate(MAX_REPORTED);
     let status = |code: StatusCode| {
-        seen.iter().filter(|e| e.answer.as_ref().is_some_and(|a| a.status == code)).count()
+        exchanges.iter().filter(|e| e.answer.as_ref().is_some_and(|a| a.status == code)).count()
     };
     Report {
-        asked: seen.len(),
+        asked: exchanges.len(),
         served: status(StatusCode::OK),
         refused: status(StatusCode::SERVICE_UNAVAILABLE),
         runs: runs.values().map(Vec::len).sum(),
@@ -93,192 +100,226 @@
     }
 }
 
-fn runs_by_request(world: &World) -> BTreeMap<&str, Vec<&str>> {
+fn runs_by_request(environment: &Environment) -> BTreeMap<&str, Vec<&str>> {
     let mut runs: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
-    for run in world.runs.values().flatten() {
+    for run in environment.runs.values().flatten() {
         runs.entry(&run.request).or_default().push(&run.what);
     }
     runs
 }
 
-/// At most once, true refusals, and requests that reach upstreams unchanged.
-fn truth(exchange: &Exchange, runs: &[&str], broken: &mut Vec<String>) {
-    let Exchange { kind, identity, answer, .. } = exchange;
+/// Checks that requests ran at most once where required, that requests refused as not run did not
+/// run, and that requests reached upstreams unchanged.
+fn check_execution(exchange: &Exchange, runs: &[&str], broken: &mut Vec<String>) {
+    let Exchange { kind, request_id, answer, .. } = exchange;
     let count = runs.len();
-    if *kind == Kind::Once && count > 1 {
-        broken.push(format!("{identity}: ran {count} times"));
+    if *kind == Kind::AtMostOnce && count > 1 {
+        broken.push(format!("{request_id}: ran {count} times"));
     }
     let status = answer.as_ref().map(|a| a.status);
-    let promised =
+    let claims_not_run =
         matches!(status, Some(StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS));
-    if promised && count > 0 {
-        broken.push(format!("{identity}: refused as not run, and ran {count} times"));
+    if claims_not_run && count > 0 {
+        broken.push(format!("{request_id}: refused as not run, and ran {count} times"));
     }
     let expected = match kind {
-        Kind::All => "GET /all/q?x=1 ",
-        Kind::Safe => "GET /safe/q ",
-        Kind::Once => "POST /once/q order",
+        Kind::AllShards => "GET /all/q?x=1 ",
+        Kind::Idempotent => "GET /safe/q ",
+        Kind::AtMostOnce => "POST /once/q order",
         Kind::Deadly => "GET /all/deadly ",
-        Kind::Home => "GET /home/q ",
+        Kind::HomeRegion => "GET /home/q ",
     };
-    if let Some(other) = runs.iter().find(|what| **what != expected) {
-        broken.push(format!("{identity}: reached an upstream as {other:?}"));
+    if let Some(other) = runs.iter().find(|run| **run != expected) {
+        broken.push(format!("{request_id}: reached an upstream as {other:?}"));
     }
 }
 
-/// A success holds what its signatures say, and nothing else.
-fn content(exchange: &Exchange, answer: &Answer, broken: &mut Vec<String>) {
+/// Checks that the body of a successful answer matches its signatures exactly.
+fn check_body(exchange: &Exchange, answer: &Answer, broken: &mut Vec<String>) {
     if answer.status != StatusCode::OK {
         return;
     }
-    let identity = &exchange.identity;
+    let request_id = &exchange.request_id;
     let wrong = match exchange.kind {
-        Kind::All | Kind::Deadly => merged(identity, answer),
-        Kind::Safe | Kind::Once | Kind::Home => single(identity, answer),
+        Kind::AllShards | Kind::Deadly => check_merged(request_id, answer),
+        Kind::Idempotent | Kind::AtMostOnce | Kind::HomeRegion => check_single(request_id, answer),
     };
     if let Some(wrong) = wrong {
-        broken.push(format!("{identity}: {wrong}"));
+        broken.push(format!("{request_id}: {wrong}"));
     }
 }
 
-fn single(identity: &str, answer: &Answer) -> Option<String> {
-    let given = answer.headers.get(names().seal).and_then(|v| v.to_str().ok());
-    if given != Some(&seal(SINGLE, identity)) {
-        return Some(format!("signature {given:?}"));
+fn check_single(request_id: &str, answer: &Answer) -> Option<String> {
+    let signature = answer.headers.get(names().seal).and_then(|v| v.to_str().ok());
+    if signature != Some(&seal(SINGLE_SERVICE, request_id)) {
+        return Some(format!("signature {signature:?}"));
     }
-    (answer.body[..] != records(SINGLE, identity)[..]).then(|| "another body".into())
+    (answer.body[..] != records(SINGLE_SERVICE, request_id)[..]).then(|| "another body".into())
 }
 
-fn merged(identity: &str, answer: &Answer) -> Option<String> {
+fn check_merged(request_id: &str, answer: &Answer) -> Option<String> {
     let header = |name| answer.headers.get(name).and_then(|v| v.to_str().ok());
-    let seals: Vec<&str> = header(names().parts)?.split(',').map(str::trim).collect();
+    let signatures: Vec<&str> = header(names().parts)?.split(',').map(str::trim).collect();
     let missing: usize = header(names().missing).and_then(|m| m.parse().ok()).unwrap_or(0);
     let all = shards();
     let parts: BTreeSet<&String> =
-        all.iter().filter(|s| seals.contains(&seal(s, identity).as_str())).collect();
-    if parts.len() != seals.len() {
-        return Some(format!("signatures {seals:?}"));
+        all.iter().filter(|s| signatures.contains(&seal(s, request_id).as_str())).collect();
+    if parts.len() != signatures.len() {
+        return Some(format!("signatures {signatures:?}"));
     }
     if parts.len() + missing != all.len() {
         return Some(format!("{} parts and {missing} missing of {}", parts.len(), all.len()));
     }
-    if (parts.len() as f64) < LEAST * all.len() as f64 {
+    if (parts.len() as f64) < MIN_SHARD_SHARE * all.len() as f64 {
         return Some(format!("a success of {} parts", parts.len()));
     }
-    let held: Vec<Vec<u8>> = parts.iter().map(|s| records(s, identity)).collect();
-    let mut expected: Vec<&[u8]> = held.iter().flat_map(|part| part.chunks(RECORD)).collect();
+    let part_records: Vec<Vec<u8>> = parts.iter().map(|s| records(s, request_id)).collect();
+    let mut expected: Vec<&[u8]> =
+        part_records.iter().flat_map(|part| part.chunks(RECORD_BYTES)).collect();
     expected.sort_unstable_by(|a, b| b.cmp(a));
-    expected.truncate(LIMIT);
+    expected.truncate(RESULT_LIMIT);
     (answer.body[..] != expected.concat()[..]).then(|| "records that are not the greatest".into())
 }
 
-/// Some time after the last fault nearly everything is served again.
-fn recovery(seen: &[Exchange], world: &World, since: Instant, broken: &mut Vec<String>) {
-    // The one upstream at home takes few requests until it can be known that it is warm.
-    let cold = |e: &&Exchange| {
-        let home = world.evacuated.iter().filter(|(domain, ..)| *domain == HOME.0);
-        e.kind == Kind::Home && home.clone().any(|(_, _, until)| e.sent < *until + WARM_AGAIN)
+/// Checks that nearly all requests are served again some time after the last fault.
+fn check_recovery(
+    exchanges: &[Exchange],
+    environment: &Environment,
+    since: Instant,
+    broken: &mut Vec<String>,
+) {
+    // The only upstream in the home region takes few requests until the VMs can know that it is warm.
+    let is_cold = |e: &&Exchange| {
+        let home = environment.evacuations.iter().filter(|(domain, ..)| *domain == HOME.0);
+        e.kind == Kind::HomeRegion
+            && home.clone().any(|(_, _, until)| e.sent_at < *until + REWARM_TIMEOUT)
     };
-    let counted = |e: &&Exchange| e.sent >= since && e.kind != Kind::Deadly && !cold(e);
-    let late = seen.iter().filter(counted);
-    let late: Vec<&Exchange> = late.collect();
-    let served = late
+    let is_counted = |e: &&Exchange| e.sent_at >= since && e.kind != Kind::Deadly && !is_cold(e);
+    let recent = exchanges.iter().filter(is_counted);
+    let recent: Vec<&Exchange> = recent.collect();
+    let served = recent
         .iter()
         .filter(|e| e.answer.as_ref().is_some_and(|answer| answer.status == StatusCode::OK));
     let served = served.count();
-    if (served as f64) < RECOVERED * late.len() as f64 {
-        broken.push(format!("{served} of {} served after the last fault", late.len()));
+    if (served as f64) < MIN_RECOVERED_RATIO * recent.len() as f64 {
+        broken.push(format!("{served} of {} served after the last fault", recent.len()));
     }
 }
 
-/// What upstreams ended under is known to all VMs that run and are reached, soon after the third.
-fn held_back(
-    seen: &[Exchange],
+/// Checks that all running and reachable VMs quarantine a query soon after it has ended three
+/// upstreams.
+fn check_quarantine(
+    exchanges: &[Exchange],
     runs: &BTreeMap<&str, Vec<&str>>,
-    (world, disturbed): (&World, &Disturbed),
+    (environment, disturbances): (&Environment, &Disturbances),
     broken: &mut Vec<String>,
 ) {
-    let Some(third) = world.ends.get(2) else { return };
-    let calm = |e: &&Exchange| {
-        let times = disturbed.get(&e.vm).into_iter().flatten();
-        times.clone().all(|at| *at + KNOWN < e.sent || *at > e.sent + e.took)
+    let Some(third) = environment.deadly_ends.get(2) else { return };
+    let is_undisturbed = |e: &&Exchange| {
+        let times = disturbances.get(&e.vm).into_iter().flatten();
+        times.clone().all(|at| *at + QUARANTINE_TIMEOUT < e.sent_at || *at > e.sent_at + e.elapsed)
     };
-    let late = seen.iter().filter(|e| e.kind == Kind::Deadly && e.sent > *third + KNOWN);
-    let ran = late.filter(calm).filter(|e| runs.contains_key(e.identity.as_str())).count();
-    if ran > DEADLY_MOST {
-        let ended = world.ends.len();
+    let late = exchanges
+        .iter()
+        .filter(|e| e.kind == Kind::Deadly && e.sent_at > *third + QUARANTINE_TIMEOUT);
+    let ran =
+        late.filter(is_undisturbed).filter(|e| runs.contains_key(e.request_id.as_str())).count();
+    if ran > MAX_DEADLY_RUNS {
+        let ended = environment.deadly_ends.len();
         broken.push(format!("a deadly query ran {ran} times once known, {ended} upstreams ended"));
     }
 }
 
-/// Upstreams run only what a caller sent.
-fn strangers(seen: &[Exchange], runs: &BTreeMap<&str, Vec<&str>>, broken: &mut Vec<String>) {
-    let known: BTreeSet<&str> = seen.iter().map(|e| e.identity.as_str()).collect();
-    for identity in runs.keys().filter(|identity| !known.contains(**identity)) {
-        broken.push(format!("{identity}: ran, and nobody sent it"));
+/// Checks that upstreams ran only requests that a caller sent.
+fn check_unknown_requests(
+    exchanges: &[Exchange],
+    runs: &BTreeMap<&str, Vec<&str>>,
+    broken: &mut Vec<String>,
+) {
+    let known: BTreeSet<&str> = exchanges.iter().map(|e| e.request_id.as_str()).collect();
+    for request_id in runs.keys().filter(|request_id| !known.contains(**request_id)) {
+        broken.push(format!("{request_id}: ran, and nobody sent it"));
     }
 }
 
-/// What leaves gets nothing new after a while, whether it says so or its entry is removed without a word.
-fn drained(world: &World, broken: &mut Vec<String>) {
-    for upstream in &world.upstreams {
-        let (Some(left), Some(runs)) = (upstream.left, world.runs.get(upstream.leaf.id())) else {
+/// Checks that a leaving upstream gets no new requests after a while, whether its entry says that it
+/// drains or is removed without notice.
+fn check_drained(environment: &Environment, broken: &mut Vec<String>) {
+    for upstream in &environment.upstreams {
+        let (Some(left), Some(runs)) = (upstream.left_at, environment.runs.get(upstream.leaf.id()))
+        else {
             continue;
         };
-        // What is removed right before the store is down for all is heard of by nobody. At its return the entry is
-        // missing as those are that lapsed, and its upstream is kept as these are: the time counts from the return.
-        let during = |(down, up): &&(Instant, Instant)| *down < left + DRAIN && *up > left;
-        let from = world.outages.iter().filter(during).map(|(_, up)| *up).fold(left, Instant::max);
-        if let Some(late) = runs.iter().find(|run| run.at > from + DRAIN) {
+        // No VM learns of an entry that is removed right before the store goes down for all VMs. When the store
+        // returns, the entry is missing like an expired one, and its upstream is retained like those of expired
+        // entries, so the time counts from the store's return.
+        let during = |(down, up): &&(Instant, Instant)| *down < left + DRAIN_TIMEOUT && *up > left;
+        let from =
+            environment.outages.iter().filter(during).map(|(_, up)| *up).fold(left, Instant::max);
+        if let Some(late) = runs.iter().find(|run| run.at > from + DRAIN_TIMEOUT) {
             let after = late.at - left;
             broken.push(format!("{}: ran {after:?} after its upstream left", late.request));
         }
     }
 }
 
-/// What ran in the upstreams' processes of some failure domains.
-fn runs_in(world: &World, domain: impl Fn(&str) -> bool) -> impl Iterator<Item = &Run> {
-    let lives = world.lives.iter().filter(move |life| domain(life.domain));
-    let ids: BTreeSet<&String> = lives.map(|life| &life.id).collect();
-    ids.into_iter().flat_map(|id| world.runs.get(id).into_iter().flatten())
+/// Requests that ran at the upstreams of the failure domains for which `domain` is true.
+fn runs_in_domains(
+    environment: &Environment,
+    domain: impl Fn(&str) -> bool,
+) -> impl Iterator<Item = &Run> {
+    let incarnations =
+        environment.incarnations.iter().filter(move |incarnation| domain(incarnation.domain));
+    let ids: BTreeSet<&String> = incarnations.map(|incarnation| &incarnation.id).collect();
+    ids.into_iter().flat_map(|id| environment.runs.get(id).into_iter().flatten())
 }
 
-/// Requests that may be served in one region only reach no upstream elsewhere.
-fn at_home(world: &World, broken: &mut Vec<String>) {
-    let away = runs_in(world, |domain| domain != HOME.0);
-    for run in away.filter(|run| run.what.starts_with("GET /home/")) {
+/// Checks that requests restricted to one region reached no upstream of another region.
+fn check_home_region(environment: &Environment, broken: &mut Vec<String>) {
+    let outside = runs_in_domains(environment, |domain| domain != HOME.0);
+    for run in outside.filter(|run| run.what.starts_with("GET /home/")) {
         broken.push(format!("{}: ran outside of its home region", run.request));
     }
 }
 
-/// The upstreams of an evacuated failure domain get nothing new after a while.
-fn evacuated(world: &World, broken: &mut Vec<String>) {
-    for (domain, from, until) in &world.evacuated {
-        let late = runs_in(world, |at| at == *domain);
-        for run in late.filter(|run| run.at > *from + EVACUATED && run.at < *until) {
+/// Checks that the upstreams of an evacuated failure domain get no new requests after a while.
+fn check_evacuated(environment: &Environment, broken: &mut Vec<String>) {
+    for (domain, from, until) in &environment.evacuations {
+        let late = runs_in_domains(environment, |at| at == *domain);
+        for run in late.filter(|run| run.at > *from + EVACUATION_TIMEOUT && run.at < *until) {
             let after = run.at - *from;
             broken.push(format!("{}: ran {after:?} after {domain} was evacuated", run.request));
         }
     }
 }
 
-/// An upstream that has started is sent no more than it bears, by all VMs together.
-fn cold(world: &World, broken: &mut Vec<String>) {
-    for life in &world.lives {
-        let (Some(from), Some(runs)) = (life.cold_from, world.runs.get(&life.id)) else { continue };
-        let bent = world
-            .bent
-            .iter()
-            .any(|(id, at)| *id == life.id && *at + SECOND > from && *at < from + COLD + SECOND);
-        if bent {
+/// Checks that all VMs together send a cold upstream no more requests than its warm-up allows.
+fn check_cold(environment: &Environment, broken: &mut Vec<String>) {
+    for incarnation in &environment.incarnations {
+        let (Some(from), Some(runs)) =
+            (incarnation.cold_from, environment.runs.get(&incarnation.id))
+        else {
+            continue;
+        };
+        let has_link_fault = environment.link_faults.iter().any(|(id, at)| {
+            *id == incarnation.id
+                && *at + RATE_WINDOW > from
+                && *at < from + WARMUP_TIME + RATE_WINDOW
+        });
+        if has_link_fault {
             continue;
         }
-        let cold: Vec<Instant> =
-            runs.iter().map(|run| run.at).filter(|at| *at >= from && *at < from + COLD).collect();
-        for (number, at) in cold.iter().enumerate() {
-            let within = cold[number..].iter().filter(|other| **other < *at + SECOND).count();
-            if within > COLD_MOST {
-                broken.push(format!("{}: {within} requests in a second while cold", life.id));
+        let cold_runs: Vec<Instant> = runs
+            .iter()
+            .map(|run| run.at)
+            .filter(|at| *at >= from && *at < from + WARMUP_TIME)
+            .collect();
+        for (number, at) in cold_runs.iter().enumerate() {
+            let within =
+                cold_runs[number..].iter().filter(|other| **other < *at + RATE_WINDOW).count();
+            if within > MAX_WARMUP_REQUESTS {
+                broken
+                    .push(format!("{}: {within} requests in a second while cold", incarnation.id));
                 break;
             }
         }
--- /dev/null
+++ b/crates/tgw-soak/src/environment.rs
@@ -0,0 +1,338 @@
+use crate::{callers::DEADLY_PATH, fleet::DOMAINS, proxy::Proxy};
+use serde_json::{Value, json};
+use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
+use tgw_site_standin::{
+    Leaf, Store,
+    leaf::{Fault, Run},
+    settings as files,
+};
+use tokio::time::Instant;
+
+pub(crate) const SHARD_COUNT: usize = 6;
+/// Maximum number of records in an answer.
+pub(crate) const RESULT_LIMIT: usize = 10;
+/// Minimum share of the shards in a successful answer.
+pub(crate) const MIN_SHARD_SHARE: f64 = 0.6;
+/// Service of the routes that send a request to one upstream.
+pub(crate) const SINGLE_SERVICE: &str = "single";
+/// The failure domain and region to which requests of the home route are restricted.
+pub(crate) const HOME: (&str, &str) = DOMAINS[0];
+/// Time during which an upstream is cold after its start.
+pub(crate) const WARMUP_TIME: Duration = Duration::from_millis(2_000);
+/// Requests per second that a cold upstream can take.
+const WARMUP_REQUESTS_PER_S: f64 = 4.0;
+/// Maximum requests that a cold upstream may get from all VMs in any second, by their settings: 1.5
+/// times the warm-up rate, plus 5.
+pub(crate) const MAX_WARMUP_REQUESTS: usize = 11;
+/// Time an upstream takes for a request.
+const SERVICE_TIME: Duration = Duration::from_millis(6);
+
+/// Time after which the entry of an ended upstream expires and a replacement starts.
+const ENTRY_EXPIRY: Duration = Duration::from_millis(1_500);
+
+/// An upstream and the proxy in front of it.
+pub(crate) struct Upstream {
+    pub(crate) leaf: Leaf,
+    pub(crate) proxy: Proxy,
+    domain: &'static str,
+    /// Number of the process, written into the entry as its start.
+    generation: u64,
+    /// When it began to leave.
+    pub(crate) left_at: Option<Instant>,
+    /// Its entry was removed without notice.
+    entry_removed: bool,
+    /// When its process was found to have ended.
+    ended_at: Option<Instant>,
+    /// End of its warm-up.
+    cold_until: Instant,
+    /// Its entry already says that it is warm.
+    reported_warm: bool,
+}
+
+/// One process of an upstream.
+#[derive(Debug)]
+pub(crate) struct Incarnation {
+    pub(crate) id: String,
+    pub(crate) domain: &'static str,
+    /// When it started, if callers were already sending.
+    pub(crate) cold_from: Option<Instant>,
+}
+
+impl Upstream {
+    fn entry(&self) -> Value {
+        let (service, addr) = (self.leaf.service(), self.proxy.addr());
+        let mut entry = files::entry(service, addr, self.domain, self.left_at.is_some());
+        entry["born"] = self.generation.into();
+        files::cold(entry, self.cold_until.saturating_duration_since(Instant::now()))
+    }
+
+    /// Writes the entry, unless it was removed without notice.
+    fn write_entry(&self, store: &Store) {
+        if self.entry_removed {
+            return;
+        }
+        store.put("servers", self.leaf.id(), &self.entry());
+    }
+}
+
+/// The fake store, the upstreams and the configuration, with a record of what happened to them.
+pub(crate) struct Environment {
+    pub(crate) store: Store,
+    pub(crate) upstreams: Vec<Upstream>,
+    config_version: u64,
+    last_number: u32,
+    /// Requests that ran, by upstream id.
+    pub(crate) runs: BTreeMap<String, Vec<Run>>,
+    /// Start and end of the store's outages for all VMs.
+    pub(crate) outages: Vec<(Instant, Instant)>,
+    /// When a query ended an upstream's process.
+    pub(crate) deadly_ends: Vec<Instant>,
+    /// Evacuated failure domains, each with start and end.
+    pub(crate) evacuations: Vec<(&'static str, Instant, Instant)>,
+    /// All upstream processes started so far.
+    pub(crate) incarnations: Vec<Incarnation>,
+    /// When links to upstreams were disturbed, by upstream id: delayed requests arrive in one burst.
+    pub(crate) link_faults: Vec<(String, Instant)>,
+    /// Whether callers are sending: upstreams that start from then on are cold.
+    has_traffic: bool,
+}
+
+/// Names of the services of the query route.
+pub(crate) fn shards() -> Vec<String> {
+    (0..SHARD_COUNT).map(|index| format!("shard-{index}")).collect()
+}
+
+impl Environment {
+    pub(crate) async fn new() -> anyhow::Result<Self> {
+        let store = Store::bind().await?;
+        let (upstreams, runs) = (Vec::new(), BTreeMap::new());
+        let mut environment = Self {
+            store,
+            upstreams,
+            config_version: 0,
+            last_number: 0,
+            runs,
+            outages: Vec::new(),
+            deadly_ends: Vec::new(),
+            evacuations: Vec::new(),
+            incarnations: Vec::new(),
+            link_faults: Vec::new(),
+            has_traffic: false,
+        };
+        for service in shards().iter().map(String::as_str).chain([SINGLE_SERVICE]) {
+            for domain in DOMAINS {
+                environment.add_upstream(service, domain.0).await?;
+            }
+        }
+        environment.write_config();
+        environment.has_traffic = true;
+        Ok(environment)
+    }
+
+    /// Records the start of an upstream's process and returns the end of its warm-up.
+    fn record_start(&mut self, id: &str, domain: &'static str) -> Instant {
+        let now = Instant::now();
+        let cold_from = self.has_traffic.then_some(now);
+        self.incarnations.push(Incarnation { id: id.into(), domain, cold_from });
+        if self.has_traffic { now + WARMUP_TIME } else { now }
+    }
+
+    /// Rewrites the entries of upstreams that have become warm.
+    pub(crate) fn report_warm(&mut self) {
+        let now = Instant::now();
+        let store = self.store.clone();
+        for upstream in
+            self.upstreams.iter_mut().filter(|u| !u.reported_warm && u.cold_until <= now)
+        {
+            upstream.reported_warm = true;
+            if !upstream.leaf.ended() {
+                upstream.write_entry(&store);
+            }
+        }
+    }
+
+    /// Evacuates a failure domain until `until`.
+    pub(crate) fn evacuate(&mut self, domain: &'static str, until: Instant) {
+        self.store.put("evacuations", domain, &json!({}));
+        self.evacuations.push((domain, Instant::now(), until));
+    }
+
+    /// Ends the evacuation of a failure domain.
+    pub(crate) fn end_evacuation(&mut self, domain: &str) {
+        self.store.remove("evacuations", domain);
+        for evacuated in self.evacuations.iter_mut().filter(|e| e.0 == domain) {
+            evacuated.2 = evacuated.2.min(Instant::now());
+        }
+    }
+
+    /// Starts an upstream and writes its entry.
+    async fn add_upstream(&mut self, service: &str, domain: &'static str) -> anyhow::Result<()> {
+        self.last_number += 1;
+        let id = format!("i-{}", self.last_number);
+        let (leaf, proxy) = start_upstream(service, &id).await?;
+        let generation = u64::from(self.last_number);
+        let (left_at, ended_at) = (None, None);
+        let cold_until = self.record_start(&id, domain);
+        let reported_warm = !self.has_traffic;
+        let entry_removed = false;
+        let upstream = Upstream {
+            leaf,
+            proxy,
+            domain,
+            generation,
+            left_at,
+            entry_removed,
+            ended_at,
+            cold_until,
+            reported_warm,
+        };
+        upstream.write_entry(&self.store);
+        self.upstreams.push(upstream);
+        Ok(())
+    }
+
+    /// Ends an upstream's process and starts another under the same id. The last heartbeat of the old
+    /// process takes effect after the first one of the new process, which then writes its entry again.
+    pub(crate) async fn restart_upstream(&mut self, index: usize) -> anyhow::Result<()> {
+        let is_live = |u: &&Upstream| u.left_at.is_none() && !u.leaf.ended();
+        let Some(upstream) = self.upstreams.get(index).filter(is_live) else { return Ok(()) };
+        // Its connections end with the process, and no further request starts to run.
+        upstream.proxy.reset_connections();
+        self.collect_runs();
+        self.last_number += 1;
+        let upstream = &mut self.upstreams[index];
+        let before = upstream.entry();
+        let (service, id) = (upstream.leaf.service().to_owned(), upstream.leaf.id().to_owned());
+        (upstream.leaf, upstream.proxy) = start_upstream(&service, &id).await?;
+        upstream.generation = u64::from(self.last_number);
+        let domain = upstream.domain;
+        let cold_until = self.record_start(&id, domain);
+        let upstream = &mut self.upstreams[index];
+        (upstream.cold_until, upstream.reported_warm) = (cold_until, false);
+        upstream.write_entry(&self.store);
+        self.store.put("servers", &id, &before);
+        upstream.write_entry(&self.store);
+        Ok(())
+    }
+
+    /// Overwrites an upstream's entry with a malformed document and returns the upstream's id.
+    pub(crate) fn overwrite_entry(&mut self, index: usize) -> Option<String> {
+        let upstream = self.upstreams.get(index).filter(|u| !u.entry_removed)?;
+        let id = upstream.leaf.id().to_owned();
+        let foreign = json!({ "meta": { "name": id, "revision": "none" }, "spec": ["service"] });
+        self.store.put_foreign("servers", &id, foreign.to_string().as_bytes());
+        Some(id)
+    }
+
+    /// Writes an upstream's entry again.
+    pub(crate) fn write_entry(&self, id: &str) {
+        if let Some(upstream) = self.upstreams.iter().find(|u| u.leaf.id() == id) {
+            upstream.write_entry(&self.store);
+        }
+    }
+
+    /// Writes a new version of the configuration.
+    pub(crate) fn write_config(&mut self) {
+        self.config_version += 3;
+        let mut services = shards();
+        let mut routes = vec![
+            files::shards("all", &services, RESULT_LIMIT, MIN_SHARD_SHARE),
+            files::route("safe", SINGLE_SERVICE, true),
+            files::route("once", SINGLE_SERVICE, false),
+            files::at_home(files::route("home", SINGLE_SERVICE, true), &[HOME.1]),
+        ];
+        let extra = format!("extra-{}", self.config_version);
+        routes.push(files::route(&extra, SINGLE_SERVICE, true));
+        services.push(SINGLE_SERVICE.into());
+        let mut document = files::config(self.config_version, &routes, &services);
+        if let Some(services) = document["services"].as_array_mut() {
+            for service in services {
+                *service = files::limited(
+                    service.take(),
+                    WARMUP_TIME.as_secs_f64(),
+                    WARMUP_REQUESTS_PER_S,
+                );
+            }
+        }
+        self.store.put("config", "main", &document);
+    }
+
+    /// Replaces an upstream. If `announced`, its entry says that it drains; otherwise the entry is removed
+    /// without notice.
+    pub(crate) async fn replace_upstream(
+        &mut self,
+        index: usize,
+        announced: bool,
+    ) -> anyhow::Result<()> {
+        let is_live = |u: &&mut Upstream| u.left_at.is_none() && !u.leaf.ended();
+        let Some(upstream) = self.upstreams.get_mut(index).filter(is_live) else { return Ok(()) };
+        let (service, domain) = (upstream.leaf.service().to_owned(), upstream.domain);
+        upstream.left_at = Some(Instant::now());
+        if announced {
+            upstream.write_entry(&self.store);
+        } else {
+            upstream.entry_removed = true;
+            self.store.remove("servers", upstream.leaf.id());
+        }
+        self.add_upstream(&service, domain).await
+    }
+
+    /// Removes upstreams that began to leave longer than `after` ago, and their entries.
+    pub(crate) fn remove_departed(&mut self, after: Duration) {
+        self.collect_runs();
+        let store = self.store.clone();
+        self.upstreams.retain(|upstream| {
+            let departed = upstream.left_at.is_some_and(|at| at.elapsed() > after);
+            if departed {
+                store.remove("servers", upstream.leaf.id());
+            }
+            !departed
+        });
+    }
+
+    /// Removes the entries of upstreams that a query ended, some time after their end, and starts
+    /// replacements.
+    pub(crate) async fn replace_ended(&mut self) -> anyhow::Result<()> {
+        self.collect_runs();
+        let mut removed = Vec::new();
+        let (store, ends) = (self.store.clone(), &mut self.deadly_ends);
+        self.upstreams.retain_mut(|upstream| {
+            if upstream.leaf.ended() && upstream.ended_at.is_none() {
+                upstream.ended_at = Some(Instant::now());
+                ends.push(Instant::now());
+            }
+            let expired = upstream.ended_at.is_some_and(|at| at.elapsed() > ENTRY_EXPIRY);
+            if expired {
+                store.remove("servers", upstream.leaf.id());
+                removed.push((upstream.leaf.service().to_owned(), upstream.domain));
+            }
+            !expired
+        });
+        for (service, domain) in removed {
+            self.add_upstream(&service, domain).await?;
+        }
+        Ok(())
+    }
+
+    /// Collects the requests that upstreams have run since the last call.
+    pub(crate) fn collect_runs(&mut self) {
+        for upstream in &self.upstreams {
+            let runs = upstream.leaf.take_runs();
+            self.runs.entry(upstream.leaf.id().to_owned()).or_default().extend(runs);
+        }
+    }
+
+    /// The address of the store.
+    pub(crate) fn addr(&self) -> SocketAddr {
+        self.store.addr()
+    }
+}
+
+/// Starts an upstream and its proxy, which stops when the upstream ends.
+async fn start_upstream(service: &str, id: &str) -> anyhow::Result<(Leaf, Proxy)> {
+    let leaf = Leaf::bind(service, id, SERVICE_TIME).await?;
+    let proxy = Proxy::bind(leaf.addr()).await?;
+    leaf.fail_at(DEADLY_PATH, Fault::Ends);
+    leaf.ends_with(proxy.abort_handle());
+    Ok((leaf, proxy))
+}
--- a/crates/tgw-soak/src/fleet.rs
+++ b/crates/tgw-soak/src/fleet.rs
@@ -11,10 +11,10 @@
 };
 use tgw_site_standin::settings::{Ports, Vm, text};
 
-/// Failure domains and their regions.
+/// Failure domains, each with its region.
 pub(crate) const DOMAINS: [(&str, &str); 3] = [("d1", "r1"), ("d2", "r2"), ("d3", "r3")];
 
-/// One VM as a process.
+/// The process of one VM.
 pub(crate) struct Process {
     pub(crate) vm: Vm,
     child: Option<Child>,
@@ -22,31 +22,33 @@
     log: PathBuf,
     program: PathBuf,
     ports: Ports,
-    /// It was told to leave and may take no new callers.
+    /// It was told to shut down; no new caller connects to it.
     pub(crate) leaving: bool,
-    /// It stands still.
+    /// It is paused by SIGSTOP.
     pub(crate) stopped: bool,
 }
 
-/// A fleet of VMs, each at an address of its own.
+/// A fleet of VMs, each at its own IP address.
 pub(crate) struct Fleet {
     pub(crate) processes: Vec<Process>,
 }
 
 impl Fleet {
-    /// Writes the settings of `count` VMs and starts them. `stores` holds each VM's way to the store.
+    /// Writes the settings of the VMs and starts them, one for each address in `store_addrs`, at which
+    /// that VM reaches the store. `subnet` is the third byte of the VMs' addresses.
     pub(crate) fn start(
         program: &Path,
         folder: &Path,
-        base: u8,
-        stores: &[SocketAddr],
+        subnet: u8,
+        store_addrs: &[SocketAddr],
     ) -> anyhow::Result<Self> {
         fs::create_dir_all(folder).with_context(|| folder.display().to_string())?;
         let ports = Ports { callers: 7801, ready: 7802, peers: 7803 };
-        let ip = |index: usize| Ipv4Addr::new(127, 77, base, u8::try_from(index + 1).unwrap_or(1));
-        let seeds: Vec<Ipv4Addr> = (0..stores.len().min(3)).map(ip).collect();
+        let ip =
+            |index: usize| Ipv4Addr::new(127, 77, subnet, u8::try_from(index + 1).unwrap_or(1));
+        let seeds: Vec<Ipv4Addr> = (0..store_addrs.len().min(3)).map(ip).collect();
         let mut processes = Vec::new();
-        for (index, store) in stores.iter().enumerate() {
+        for (index, store) in store_addrs.iter().enumerate() {
             let domain = DOMAINS[index % DOMAINS.len()].0;
             let name = format!("vm-{}", index + 1);
             let vm = Vm { name: name.clone(), ip: ip(index), domain: domain.into() };
@@ -72,12 +74,12 @@
 }
 
 impl Process {
-    /// Where callers connect.
-    pub(crate) fn callers(&self) -> SocketAddr {
+    /// The address that callers connect to.
+    pub(crate) fn callers_addr(&self) -> SocketAddr {
         SocketAddrV4::new(self.vm.ip, self.ports.callers).into()
     }
 
-    /// Starts the program, which must not run.
+    /// Starts the program, which must not be running.
     pub(crate) fn start(&mut self) -> anyhow::Result<()> {
         let log = File::options().create(true).append(true).open(&self.log)?;
         let child = Command::new(&self.program)
@@ -94,24 +96,23 @@
         Ok(())
     }
 
-    /// Whether the process runs.
-    pub(crate) fn runs(&mut self) -> bool {
+    pub(crate) fn is_running(&mut self) -> bool {
         self.child.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
 
-    /// The exit code of a process that has ended by itself; `None` while it runs or after a signal.
-    pub(crate) fn ended(&mut self) -> Option<i32> {
+    /// The exit code of a process that has exited; `None` while it runs or if a signal ended it.
+    pub(crate) fn exit_code(&mut self) -> Option<i32> {
         let status = self.child.as_mut()?.try_wait().ok().flatten()?;
         status.code()
     }
 
     /// Sends a signal to this process, if it runs.
     pub(crate) fn signal(&mut self, signal: Signal) {
-        if !self.runs() {
+        if !self.is_running() {
             return;
         }
         let Some(id) = self.child.as_ref().and_then(|c| i32::try_from(c.id()).ok()) else { return };
-        // It may have ended since: that is what was wanted.
+        // The process may have exited in the meantime, which needs no signal.
         let _ = kill(Pid::from_raw(id), signal);
         match signal {
             Signal::SIGTERM => self.leaving = true,
@@ -125,7 +126,7 @@
 impl Drop for Process {
     fn drop(&mut self) {
         if let Some(child) = &mut self.child {
-            // A child that has ended is only reaped.
+            // For a child that has already exited, the kill fails and the wait reaps it.
             let _ = child.kill();
             let _ = child.wait();
         }
--- a/crates/tgw-soak/src/main.rs
+++ b/crates/tgw-soak/src/main.rs
@@ -1,31 +1,31 @@
-//! The fault soak: real processes of the product on loopback, faults injected from outside them, and
-//! the promises checked from what callers and upstreams see.
+//! Soak test with fault injection: runs real gateway processes on loopback, injects faults from
+//! outside them, and checks the guarantees against what callers and upstreams observe.
 //!
-//! Each seed is one run: a fleet of VMs as processes, a store and upstreams as stand-ins in this
-//! process, a proxy on each way between them, and a schedule of faults drawn from the seed. Only
+//! Each seed is one run: a fleet of VMs as processes, a fake store and fake upstreams in this
+//! process, a proxy on each link between them, and a schedule of faults drawn from the seed. Only
 //! processes that a run has started are signalled, by their ids.
 
-/// Callers with kept connections, and what they were answered.
+/// Callers with keep-alive connections, and the answers they received.
 mod callers;
-/// The promises.
+/// Checks of the guarantees.
 mod check;
-/// VMs as processes.
+/// The fake store, the upstreams and the configuration.
+mod environment;
+/// VMs, each a process of the program.
 mod fleet;
-/// The way between VMs and the rest, as faults bend it.
+/// TCP proxy that injects network faults.
 mod proxy;
-/// One run.
+/// Runs one seed.
 mod run;
-/// Faults drawn from a seed.
+/// Schedule of faults drawn from a seed.
 mod schedule;
-/// Store, upstreams and configuration.
-mod world;
 
 use anyhow::Context;
 use clap::Parser;
 use std::{path::PathBuf, process::ExitCode, time::Instant};
 use tokio::task::LocalSet;
 
-/// Runs the product under faults and checks its promises.
+/// Runs the gateway under injected faults and checks its guarantees.
 #[derive(Parser)]
 #[command(version, about, max_term_width = 100)]
 struct Cli {
@@ -35,25 +35,25 @@
     /// Run this many seeds.
     #[arg(long, conflicts_with = "minutes")]
     seeds: Option<u64>,
-    /// The first of them.
+    /// The first seed of `--seeds`.
     #[arg(long, default_value_t = 1)]
     from: u64,
-    /// Run fresh seeds for this many minutes.
+    /// Run random seeds for this many minutes.
     #[arg(long)]
     minutes: Option<u64>,
-    /// VMs of a run.
+    /// VMs in a run.
     #[arg(long, default_value_t = 6)]
     vms: u8,
-    /// Seconds of faults in a run.
+    /// Seconds during which a run injects faults.
     #[arg(long, default_value_t = 10)]
     seconds: u64,
-    /// The product's program.
+    /// Path of the tanagergw binary.
     #[arg(long, default_value = "target/release/tanagergw")]
     program: PathBuf,
-    /// Keep the VMs' logs of failed seeds in this folder.
+    /// Folder for the VMs' logs of failed seeds.
     #[arg(long, default_value = "target/soak")]
     logs: PathBuf,
-    /// Keep the logs of all seeds.
+    /// Keep the logs of passed seeds too.
     #[arg(long)]
     keep: bool,
 }
@@ -73,7 +73,7 @@
             break;
         }
         count += 1;
-        let report = one(&cli, seed).with_context(|| format!("seed {seed}"))?;
+        let report = run_seed(&cli, seed).with_context(|| format!("seed {seed}"))?;
         println!("seed {seed}: {report}");
         for broken in &report.broken {
             println!("  broken: {broken}");
@@ -94,7 +94,7 @@
     }
 }
 
-fn one(cli: &Cli, seed: u64) -> anyhow::Result<check::Report> {
+fn run_seed(cli: &Cli, seed: u64) -> anyhow::Result<check::Report> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let options = run::Options {
         seed,
--- a/crates/tgw-soak/src/proxy.rs
+++ b/crates/tgw-soak/src/proxy.rs
@@ -10,30 +10,30 @@
     time::sleep,
 };
 
-/// Bytes that are passed on at once.
-const CHUNK: usize = 16 << 10;
+/// Buffer size of one read.
+const CHUNK_BYTES: usize = 16 << 10;
 
-/// What happens to bytes on a way.
+/// What the proxy does with the bytes it receives.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq)]
-pub(crate) enum Way {
-    /// They pass.
+pub(crate) enum Mode {
+    /// Forwards them at once.
     #[default]
-    Open,
-    /// They pass late.
-    Slow(Duration),
-    /// Requests pass, replies are lost without a word.
-    Deaf,
-    /// Nothing passes, on old and new connections, without a word.
-    Silent,
+    Forward,
+    /// Forwards each chunk after a delay.
+    Delay(Duration),
+    /// Forwards requests and drops replies; connections stay open.
+    DropReplies,
+    /// Drops everything on old and new connections; connections stay open.
+    DropAll,
 }
 
 struct State {
-    way: Cell<Way>,
-    /// Connections of an earlier number are reset.
+    mode: Cell<Mode>,
+    /// Number of resets; each change resets all open connections.
     resets: watch::Sender<u64>,
 }
 
-/// A listener on loopback that passes connections on to one address.
+/// A listener on loopback that forwards connections to one address.
 #[derive(Clone)]
 pub(crate) struct Proxy {
     state: Rc<State>,
@@ -50,73 +50,74 @@
 }
 
 impl Proxy {
-    /// Passes connections on to `to`.
+    /// Starts a proxy that forwards connections to `to`.
     pub(crate) async fn bind(to: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let addr = listener.local_addr()?;
-        let state = Rc::new(State { way: Cell::default(), resets: watch::Sender::new(0) });
+        let state = Rc::new(State { mode: Cell::default(), resets: watch::Sender::new(0) });
         let inner = state.clone();
         let task = tokio::task::spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                tokio::task::spawn_local(pass(inner.clone(), stream, to));
+                tokio::task::spawn_local(forward(inner.clone(), stream, to));
             }
         });
         Ok(Self { state, addr, task: Rc::new(Task(task.abort_handle())) })
     }
 
-    /// Where it listens.
+    /// The address it listens on.
     pub(crate) fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Ends it: connections that it holds end with either side, and it takes no more.
-    pub(crate) fn task(&self) -> AbortHandle {
+    /// Handle that stops accepting connections; open ones live until either side closes.
+    pub(crate) fn abort_handle(&self) -> AbortHandle {
         self.task.0.clone()
     }
 
-    /// Bends the way.
-    pub(crate) fn set(&self, way: Way) {
-        self.state.way.set(way);
+    /// Sets the mode for old and new connections.
+    pub(crate) fn set_mode(&self, mode: Mode) {
+        self.state.mode.set(mode);
     }
 
-    /// Resets all connections.
-    pub(crate) fn reset(&self) {
+    /// Resets all open connections.
+    pub(crate) fn reset_connections(&self) {
         self.state.resets.send_modify(|n| *n += 1);
     }
 }
 
-async fn pass(state: Rc<State>, near: TcpStream, to: SocketAddr) {
+async fn forward(state: Rc<State>, client: TcpStream, to: SocketAddr) {
     let mut resets = state.resets.subscribe();
-    let Ok(far) = TcpStream::connect(to).await else { return };
-    // Closing with lingering off sends a reset, as a machine that forgot the connection does.
-    let lingers = near.set_zero_linger().and_then(|()| far.set_zero_linger());
-    if lingers.is_err() {
+    let Ok(server) = TcpStream::connect(to).await else { return };
+    // Closing with a linger time of zero sends a reset, like a machine that lost the connection's state.
+    let linger = client.set_zero_linger().and_then(|()| server.set_zero_linger());
+    if linger.is_err() {
         return;
     }
-    let ((near_read, near_write), (far_read, far_write)) = (near.into_split(), far.into_split());
-    let requests = copy(state.clone(), near_read, far_write, false);
-    let replies = copy(state.clone(), far_read, near_write, true);
+    let ((client_read, client_write), (server_read, server_write)) =
+        (client.into_split(), server.into_split());
+    let requests = copy(state.clone(), client_read, server_write, false);
+    let replies = copy(state.clone(), server_read, client_write, true);
     tokio::select! {
         () = async { tokio::join!(requests, replies); } => {}
         _ = resets.changed() => {}
     }
 }
 
-/// Passes bytes on until one side ends.
-async fn copy(state: Rc<State>, mut from: OwnedReadHalf, mut to: OwnedWriteHalf, replies: bool) {
-    let mut buffer = vec![0; CHUNK];
+/// Copies bytes in one direction until either side closes.
+async fn copy(state: Rc<State>, mut from: OwnedReadHalf, mut to: OwnedWriteHalf, is_reply: bool) {
+    let mut buffer = vec![0; CHUNK_BYTES];
     while let Ok(length) = from.read(&mut buffer).await {
-        let way = state.way.get();
-        if let Way::Slow(by) = way {
-            sleep(by).await;
+        let mode = state.mode.get();
+        if let Mode::Delay(delay) = mode {
+            sleep(delay).await;
         }
-        let lost = way == Way::Silent || (way == Way::Deaf && replies);
-        if lost {
-            // What was lost leaves a hole: nothing later on this connection may arrive either.
+        let dropped = mode == Mode::DropAll || (mode == Mode::DropReplies && is_reply);
+        if dropped {
+            // Dropped bytes leave a gap in the stream, so no later bytes of this connection may arrive.
             std::future::pending::<()>().await;
         }
         if length == 0 {
-            // The other side learns of the end, and may still send.
+            // Passes on the half-close; the other side may still send.
             let _ = to.shutdown().await;
             return;
         }
--- a/crates/tgw-soak/src/run.rs
+++ b/crates/tgw-soak/src/run.rs
@@ -1,10 +1,10 @@
 use crate::{
-    callers::{Caller, Kind, Seen},
-    check::{self, Disturbed, Report},
+    callers::{Caller, Exchanges, Kind},
+    check::{self, Disturbances, Report},
+    environment::Environment,
     fleet::{DOMAINS, Fleet},
-    proxy::{Proxy, Way},
+    proxy::{Mode, Proxy},
     schedule::{self, Fault},
-    world::World,
 };
 use nix::sys::signal::Signal;
 use std::{
@@ -20,20 +20,19 @@
     time::{Instant, sleep, sleep_until},
 };
 
-/// Time for the fleet to start and to settle.
-const SETTLE: Duration = Duration::from_millis(2_500);
-/// Time after the last fault in which everything must be served again.
-const RECOVER: Duration = Duration::from_millis(4_000);
-/// Time after which an upstream that leaves is gone.
-const GONE: Duration = Duration::from_millis(8_000);
-/// Time between looks at processes that ended.
-const LOOK: Duration = Duration::from_millis(100);
-/// Callers of each VM.
-const CALLERS: usize = 3;
-/// Time between a caller's requests.
-const GAP: Duration = Duration::from_millis(35);
+/// Time for the fleet to start and stabilise.
+const STARTUP_TIME: Duration = Duration::from_millis(2_500);
+/// Length of the phase after the last fault; requests of its second half must be served.
+const RECOVERY_TIME: Duration = Duration::from_millis(4_000);
+/// Time after which the process and entry of a leaving upstream are removed.
+const DEPARTURE_TIME: Duration = Duration::from_millis(8_000);
+/// Interval of the check for exited processes and expired faults.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+const CALLERS_PER_VM: usize = 3;
+/// Pause between a caller's requests.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(35);
 
-/// One run.
+/// Options of one run.
 pub(crate) struct Options {
     pub(crate) seed: u64,
     pub(crate) vms: u8,
@@ -44,63 +43,72 @@
 }
 
 struct Run {
-    world: World,
+    environment: Environment,
     fleet: Rc<RefCell<Fleet>>,
-    stores: Vec<Proxy>,
-    disturbed: Disturbed,
-    /// What is undone, and when.
+    store_proxies: Vec<Proxy>,
+    disturbances: Disturbances,
+    /// Faults to undo, each with its end time.
     undo: Vec<(Instant, Undo)>,
-    exits: Vec<String>,
-    seen: Seen,
-    /// Times that the deadly query was sent.
-    deadly: u32,
+    unexpected_exits: Vec<String>,
+    exchanges: Exchanges,
+    /// How often the deadly query was sent.
+    deadly_count: u32,
 }
 
 enum Undo {
-    Thaw(usize),
-    Store(usize),
+    Resume(usize),
+    StoreLink(usize),
     StoreUp,
-    Upstream(String),
+    UpstreamLink(String),
     Entry(String),
     Evacuation(&'static str),
 }
 
-/// Starts a fleet, injects the faults of the seed, and checks what was seen.
+/// Starts a fleet, injects the faults of the seed, and checks the guarantees.
 pub(crate) async fn run(options: Options) -> anyhow::Result<Report> {
-    let world = World::new().await?;
-    let mut stores = Vec::new();
+    let environment = Environment::new().await?;
+    let mut store_proxies = Vec::new();
     for _ in 0..options.vms {
-        stores.push(Proxy::bind(world.addr()).await?);
+        store_proxies.push(Proxy::bind(environment.addr()).await?);
     }
-    let addresses: Vec<SocketAddr> = stores.iter().map(Proxy::addr).collect();
-    let base = u8::try_from(std::process::id() % 200)?;
-    let fleet = Fleet::start(&options.program, &options.logs, base, &addresses)?;
+    let addresses: Vec<SocketAddr> = store_proxies.iter().map(Proxy::addr).collect();
+    let subnet = u8::try_from(std::process::id() % 200)?;
+    let fleet = Fleet::start(&options.program, &options.logs, subnet, &addresses)?;
     let fleet = Rc::new(RefCell::new(fleet));
-    sleep(SETTLE).await;
+    sleep(STARTUP_TIME).await;
     let stop = Rc::new(Cell::new(false));
-    let (seen, mut callers) = start_callers(&fleet, options.vms, &stop);
+    let (exchanges, mut callers) = start_callers(&fleet, options.vms, &stop);
     let span = Duration::from_secs(options.seconds);
-    let upstreams = world.upstreams.len();
+    let upstreams = environment.upstreams.len();
     let steps = schedule::draw(options.seed, span, usize::from(options.vms), upstreams);
-    let (disturbed, undo, exits) = (Disturbed::new(), Vec::new(), Vec::new());
-    let mut run = Run { world, fleet, stores, disturbed, undo, exits, seen, deadly: 0 };
+    let (disturbances, undo, unexpected_exits) = (Disturbances::new(), Vec::new(), Vec::new());
+    let mut run = Run {
+        environment,
+        fleet,
+        store_proxies,
+        disturbances,
+        undo,
+        unexpected_exits,
+        exchanges,
+        deadly_count: 0,
+    };
     let start = Instant::now();
     for step in &steps {
-        run.until(start + step.at).await?;
+        run.advance_until(start + step.at).await?;
         run.inject(step.fault).await?;
     }
-    run.until(start + span + RECOVER).await?;
-    // A request that is cut short here would be one that ran and that nobody sent.
+    run.advance_until(start + span + RECOVERY_TIME).await?;
+    // A request aborted here would count as run but never sent, so callers finish first.
     stop.set(true);
     while callers.join_next().await.is_some() {}
-    run.world.collect();
-    let seen = run.seen.take();
-    let recovered = start + span + RECOVER / 2;
-    let mut report = check::check(&seen, &run.world, &run.disturbed, recovered);
-    report.broken.append(&mut run.exits);
+    run.environment.collect_runs();
+    let exchanges = run.exchanges.take();
+    let recovered = start + span + RECOVERY_TIME / 2;
+    let mut report = check::check(&exchanges, &run.environment, &run.disturbances, recovered);
+    report.broken.append(&mut run.unexpected_exits);
     if report.broken.is_empty() && !options.keep {
         drop(run);
-        // Logs are kept of failed seeds only.
+        // Only the logs of failed seeds are kept.
         let _ = fs::remove_dir_all(&options.logs);
     } else {
         let text: Vec<String> = steps.iter().map(|s| format!("{:?} {:?}", s.at, s.fault)).collect();
@@ -113,11 +121,11 @@
     fleet: &Rc<RefCell<Fleet>>,
     vms: u8,
     stop: &Rc<Cell<bool>>,
-) -> (Seen, JoinSet<()>) {
-    let seen = Seen::default();
+) -> (Exchanges, JoinSet<()>) {
+    let exchanges = Exchanges::default();
     let mut tasks = JoinSet::new();
-    for number in 0..usize::from(vms) * CALLERS {
-        let (seen, fleet, stop) = (seen.clone(), fleet.clone(), stop.clone());
+    for number in 0..usize::from(vms) * CALLERS_PER_VM {
+        let (exchanges, fleet, stop) = (exchanges.clone(), fleet.clone(), stop.clone());
         tasks.spawn_local(async move {
             let vm = number % usize::from(vms);
             let mut caller = Caller::new(vm);
@@ -125,96 +133,98 @@
                 if stop.get() {
                     return;
                 }
-                // New connections go to VMs in rotation only; kept ones are used to their end.
+                // New connections go only to VMs that are in service; open ones are used until they close.
                 let (addr, open) = {
                     let mut fleet = fleet.borrow_mut();
                     let process = &mut fleet.processes[vm];
-                    (process.callers(), process.runs() && !process.leaving)
+                    (process.callers_addr(), process.is_running() && !process.leaving)
                 };
-                if open || caller.connected() {
+                if open || caller.is_connected() {
                     let kind = match request % 5 {
-                        0 | 1 => Kind::All,
-                        2 => Kind::Safe,
-                        3 => Kind::Home,
-                        _ => Kind::Once,
+                        0 | 1 => Kind::AllShards,
+                        2 => Kind::Idempotent,
+                        3 => Kind::HomeRegion,
+                        _ => Kind::AtMostOnce,
                     };
-                    caller.ask(addr, kind, format!("c{number}-{request}"), &seen).await;
+                    caller.send(addr, kind, format!("c{number}-{request}"), &exchanges).await;
                 }
-                sleep(GAP).await;
+                sleep(REQUEST_INTERVAL).await;
             }
         });
     }
-    (seen, tasks)
+    (exchanges, tasks)
 }
 
 impl Run {
-    /// Waits, undoing faults whose time is over and starting processes that have ended.
-    async fn until(&mut self, at: Instant) -> anyhow::Result<()> {
+    /// Waits until `at`; meanwhile undoes expired faults and restarts processes that have ended.
+    async fn advance_until(&mut self, at: Instant) -> anyhow::Result<()> {
         while Instant::now() < at {
-            sleep_until(at.min(Instant::now() + LOOK)).await;
-            self.undo();
-            self.restart()?;
-            self.world.retire(GONE);
-            self.world.revive().await?;
-            self.world.warm();
+            sleep_until(at.min(Instant::now() + POLL_INTERVAL)).await;
+            self.undo_expired();
+            self.restart_ended()?;
+            self.environment.remove_departed(DEPARTURE_TIME);
+            self.environment.replace_ended().await?;
+            self.environment.report_warm();
         }
         Ok(())
     }
 
-    fn undo(&mut self) {
+    fn undo_expired(&mut self) {
         let now = Instant::now();
-        let (over, left) = std::mem::take(&mut self.undo).into_iter().partition(|u| u.0 <= now);
-        self.undo = left;
-        let over: Vec<(Instant, Undo)> = over;
-        for (_, undo) in over {
+        let (expired, pending) =
+            std::mem::take(&mut self.undo).into_iter().partition(|u| u.0 <= now);
+        self.undo = pending;
+        let expired: Vec<(Instant, Undo)> = expired;
+        for (_, undo) in expired {
             match undo {
-                Undo::Thaw(vm) => {
+                Undo::Resume(vm) => {
                     self.fleet.borrow_mut().processes[vm].signal(Signal::SIGCONT);
-                    self.disturb(vm);
+                    self.record_disturbance(vm);
                 }
-                Undo::Store(vm) => {
-                    self.stores[vm].set(Way::Open);
-                    self.stores[vm].reset();
+                Undo::StoreLink(vm) => {
+                    self.store_proxies[vm].set_mode(Mode::Forward);
+                    self.store_proxies[vm].reset_connections();
                 }
-                Undo::Entry(id) => self.world.enter(&id),
-                Undo::Evacuation(domain) => self.world.take_back(domain),
-                Undo::StoreUp => self.world.store.set_down(false),
-                Undo::Upstream(id) => {
-                    let upstream = self.world.upstreams.iter().find(|u| u.leaf.id() == id);
+                Undo::Entry(id) => self.environment.write_entry(&id),
+                Undo::Evacuation(domain) => self.environment.end_evacuation(domain),
+                Undo::StoreUp => self.environment.store.set_down(false),
+                Undo::UpstreamLink(id) => {
+                    let upstream = self.environment.upstreams.iter().find(|u| u.leaf.id() == id);
                     if let Some(upstream) = upstream {
-                        upstream.proxy.set(Way::Open);
+                        upstream.proxy.set_mode(Mode::Forward);
                     }
-                    self.world.bent.push((id, now));
+                    self.environment.link_faults.push((id, now));
                 }
             }
         }
     }
 
-    fn restart(&mut self) -> anyhow::Result<()> {
+    fn restart_ended(&mut self) -> anyhow::Result<()> {
         let mut fleet = self.fleet.borrow_mut();
         for (vm, process) in fleet.processes.iter_mut().enumerate() {
-            if process.runs() {
+            if process.is_running() {
                 continue;
             }
-            if let Some(code) = process.ended()
+            if let Some(code) = process.exit_code()
                 && !(process.leaving && code == 0)
             {
-                self.exits.push(format!("vm-{}: ended by itself with code {code}", vm + 1));
+                self.unexpected_exits
+                    .push(format!("vm-{}: ended by itself with code {code}", vm + 1));
             }
             process.start()?;
-            self.disturbed.entry(vm).or_default().push(Instant::now());
+            self.disturbances.entry(vm).or_default().push(Instant::now());
         }
         Ok(())
     }
 
-    fn disturb(&mut self, vm: usize) {
-        self.disturbed.entry(vm).or_default().push(Instant::now());
+    fn record_disturbance(&mut self, vm: usize) {
+        self.disturbances.entry(vm).or_default().push(Instant::now());
     }
 
     fn signal(&mut self, vm: usize, signal: Signal) {
         self.fleet.borrow_mut().processes[vm].signal(signal);
         if signal != Signal::SIGTERM && signal != Signal::SIGHUP {
-            self.disturb(vm);
+            self.record_disturbance(vm);
         }
     }
 
@@ -222,78 +232,78 @@
         let now = Instant::now();
         match fault {
             Fault::Term(vm) => {
-                // Stopped processes cannot leave.
+                // A process under SIGSTOP cannot shut down.
                 if !self.fleet.borrow().processes[vm].stopped {
                     self.signal(vm, Signal::SIGTERM);
                 }
             }
             Fault::Kill(vm) => self.signal(vm, Signal::SIGKILL),
             Fault::KillAll => {
-                (0..self.stores.len()).for_each(|vm| self.signal(vm, Signal::SIGKILL));
+                (0..self.store_proxies.len()).for_each(|vm| self.signal(vm, Signal::SIGKILL));
             }
             Fault::Freeze(vm, span) => {
                 self.signal(vm, Signal::SIGSTOP);
-                self.undo.push((now + span, Undo::Thaw(vm)));
+                self.undo.push((now + span, Undo::Resume(vm)));
             }
             Fault::Hangup(vm) => self.signal(vm, Signal::SIGHUP),
             Fault::StoreCut(vm, span) => {
-                self.stores[vm].set(Way::Silent);
-                self.undo.push((now + span, Undo::Store(vm)));
+                self.store_proxies[vm].set_mode(Mode::DropAll);
+                self.undo.push((now + span, Undo::StoreLink(vm)));
             }
             Fault::StoreDown(span) => {
-                self.world.store.set_down(true);
-                self.world.outages.push((now, now + span));
+                self.environment.store.set_down(true);
+                self.environment.outages.push((now, now + span));
                 self.undo.push((now + span, Undo::StoreUp));
             }
-            Fault::Compact => self.world.store.compact(),
-            Fault::Configure => self.world.configure(),
-            Fault::Deadly(vm) => self.deadly(vm),
+            Fault::Compact => self.environment.store.compact(),
+            Fault::Configure => self.environment.write_config(),
+            Fault::Deadly(vm) => self.send_deadly(vm),
             Fault::Evacuate(index, span) => {
                 let domain = DOMAINS[index].0;
-                self.world.evacuate(domain, now + span);
+                self.environment.evacuate(domain, now + span);
                 self.undo.push((now + span, Undo::Evacuation(domain)));
             }
-            Fault::Restart(index) => self.world.restart(index).await?,
+            Fault::Restart(index) => self.environment.restart_upstream(index).await?,
             Fault::Foreign(index, span) => {
-                let id = self.world.overwrite(index);
+                let id = self.environment.overwrite_entry(index);
                 self.undo.extend(id.map(|id| (now + span, Undo::Entry(id))));
             }
-            Fault::Replace(index) => self.world.replace(index, true).await?,
-            Fault::Vanish(index) => self.world.replace(index, false).await?,
+            Fault::Replace(index) => self.environment.replace_upstream(index, true).await?,
+            Fault::Vanish(index) => self.environment.replace_upstream(index, false).await?,
             Fault::Pause(index, span) => {
-                if let Some(upstream) = self.world.upstreams.get(index) {
+                if let Some(upstream) = self.environment.upstreams.get(index) {
                     upstream.leaf.pause(span);
-                    self.world.bent.push((upstream.leaf.id().to_owned(), now));
+                    self.environment.link_faults.push((upstream.leaf.id().to_owned(), now));
                 }
             }
             Fault::Reset(index) => {
-                if let Some(upstream) = self.world.upstreams.get(index) {
-                    upstream.proxy.reset();
+                if let Some(upstream) = self.environment.upstreams.get(index) {
+                    upstream.proxy.reset_connections();
                 }
             }
-            Fault::Silence(index, span) => self.bend(index, Way::Silent, now + span),
-            Fault::LoseReplies(index, span) => self.bend(index, Way::Deaf, now + span),
+            Fault::Silence(index, span) => self.set_link(index, Mode::DropAll, now + span),
+            Fault::LoseReplies(index, span) => self.set_link(index, Mode::DropReplies, now + span),
             Fault::Slow(index, span) => {
-                self.bend(index, Way::Slow(Duration::from_millis(80)), now + span);
+                self.set_link(index, Mode::Delay(Duration::from_millis(80)), now + span);
             }
         }
         Ok(())
     }
 
-    /// A caller sends the deadly query to a VM, on a new connection.
-    fn deadly(&mut self, vm: usize) {
-        let to = self.fleet.borrow().processes[vm].callers();
-        let (seen, number) = (self.seen.clone(), self.deadly);
-        self.deadly += 1;
+    /// Sends the deadly query to a VM on a new connection.
+    fn send_deadly(&mut self, vm: usize) {
+        let to = self.fleet.borrow().processes[vm].callers_addr();
+        let (exchanges, number) = (self.exchanges.clone(), self.deadly_count);
+        self.deadly_count += 1;
         tokio::task::spawn_local(async move {
-            Caller::new(vm).ask(to, Kind::Deadly, format!("d{number}"), &seen).await;
+            Caller::new(vm).send(to, Kind::Deadly, format!("d{number}"), &exchanges).await;
         });
     }
 
-    fn bend(&mut self, index: usize, way: Way, until: Instant) {
-        let Some(upstream) = self.world.upstreams.get(index) else { return };
-        upstream.proxy.set(way);
-        self.world.bent.push((upstream.leaf.id().to_owned(), Instant::now()));
-        self.undo.push((until, Undo::Upstream(upstream.leaf.id().to_owned())));
+    fn set_link(&mut self, index: usize, mode: Mode, until: Instant) {
+        let Some(upstream) = self.environment.upstreams.get(index) else { return };
+        upstream.proxy.set_mode(mode);
+        self.environment.link_faults.push((upstream.leaf.id().to_owned(), Instant::now()));
+        self.undo.push((until, Undo::UpstreamLink(upstream.leaf.id().to_owned())));
     }
 }
