--- a/crates/tgw-demo/src/check.rs
+++ b/crates/tgw-demo/src/check.rs
@@ -1,144 +1,159 @@
-//! Compares answers with what the stand-ins hold and ran.
+//! Checks answers and orders against the contents and counters of the stand-ins.
 
-use crate::load::Placed;
+use crate::load::OrderReply;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use tgw_standin::{
     corpus::{self, Item},
-    upstream::Journal,
+    upstream::Stats,
 };
 use tgw_topology::{Catalog, Layout, Service, Shard, Snapshot};
 
-/// A promise that was seen broken.
+/// An observed violation of a guarantee.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Broken {
-    /// The promise.
+pub struct Violation {
+    /// The guarantee.
     pub promise: &'static str,
-    /// The query or order.
+    /// Id of the query, name of the order or name of the VM.
     pub query: String,
-    /// What was seen.
+    /// What was observed.
     pub seen: String,
 }
 
-/// An answer as a caller reads it.
+/// An answer as received by a caller.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Answer {
-    /// The query.
+    /// Id of the query.
     pub query_id: String,
-    /// The one snapshot.
-    pub snapshot: Version,
-    /// What part of the service it covers.
+    /// The snapshot from which all items were read.
+    pub snapshot: SnapshotId,
+    /// Which shards the answer covers.
     pub coverage: Coverage,
-    /// The items.
+    /// Items of all covered shards.
     pub items: Vec<Item>,
-    /// Time that the tier says it took.
+    /// Duration reported by the tier.
     pub took_ms: f64,
 }
 
-/// A snapshot as a caller reads it.
+/// A snapshot as received by a caller.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Version {
+pub struct SnapshotId {
     /// The index version.
     pub version: u32,
     /// The layout.
     pub layout: u32,
 }
 
-/// A coverage as a caller reads it.
+/// The coverage of an answer as received by a caller.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Coverage {
-    /// Shards of the layout.
+    /// Number of shards in the layout.
     pub shards: u64,
-    /// Shards answered.
+    /// Number of shards in the answer.
     pub answered: u64,
-    /// The others.
-    pub missing: Vec<Missing>,
+    /// Shards that are not in the answer.
+    pub missing: Vec<MissingShard>,
 }
 
 /// A shard that is not in the answer.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Missing {
-    /// The shard.
+pub struct MissingShard {
+    /// Number of the shard.
     pub shard: u16,
-    /// Why.
+    /// Why it is missing.
     pub reason: String,
 }
 
-/// Checks one answer against the corpus: one snapshot, true coverage, every item of every covered
-/// shard exactly once, and all for this query.
-pub fn answer(
+/// Checks an answer against the corpus: all items are from one snapshot and match this query, the
+/// coverage is correct, and every matching item of every covered shard occurs exactly once.
+pub fn check_answer(
     catalog: &Catalog,
     service: Service,
     body: &[u8],
-    asked: &str,
+    expected_id: &str,
     answer: &Answer,
-) -> Vec<Broken> {
-    let mut found = Vec::new();
-    let mut broken = |promise, seen: String| {
-        found.push(Broken { promise, query: answer.query_id.clone(), seen });
+) -> Vec<Violation> {
+    let mut violations = Vec::new();
+    let mut report_violation = |promise, seen: String| {
+        violations.push(Violation { promise, query: answer.query_id.clone(), seen });
     };
-    if answer.query_id != asked {
-        broken("whole answer to its own caller", format!("asked {asked}, was answered another"));
+    if answer.query_id != expected_id {
+        report_violation(
+            "whole answer to its own caller",
+            format!("asked {expected_id}, was answered another"),
+        );
     }
     let layout = Layout(answer.snapshot.layout);
     let snapshot = Snapshot { version: answer.snapshot.version, layout };
     let shards = catalog.partition(service, layout).map_or(0, |p| p.shards.len() as u64);
     if shards != answer.coverage.shards {
-        broken("true coverage", format!("{} shards, layout has {shards}", answer.coverage.shards));
+        report_violation(
+            "true coverage",
+            format!("{} shards, layout has {shards}", answer.coverage.shards),
+        );
     }
     let missing: BTreeSet<u16> = answer.coverage.missing.iter().map(|m| m.shard).collect();
     if answer.coverage.answered + missing.len() as u64 != shards {
         let seen = format!("{} answered and {} missing", answer.coverage.answered, missing.len());
-        broken("true coverage", seen);
+        report_violation("true coverage", seen);
     }
     for item in &answer.items {
         if item.version != snapshot.version || item.service != service.0 {
-            broken("one snapshot", format!("item {item:?} in an answer from {snapshot}"));
+            report_violation("one snapshot", format!("item {item:?} in an answer from {snapshot}"));
         }
-        if item.query != corpus::query(body) {
-            broken("whole answer to its own caller", format!("item {item:?} of another query"));
+        if item.query != corpus::query_hash(body) {
+            report_violation(
+                "whole answer to its own caller",
+                format!("item {item:?} of another query"),
+            );
         }
     }
-    let mut got: BTreeMap<u64, u32> = BTreeMap::new();
+    let mut item_counts: BTreeMap<u64, u32> = BTreeMap::new();
     for item in &answer.items {
-        *got.entry(item.id).or_default() += 1;
+        *item_counts.entry(item.id).or_default() += 1;
     }
     for shard in (0..shards as u16).filter(|s| !missing.contains(s)) {
         for item in corpus::items(service, snapshot, shards, Shard(shard), body) {
-            match got.remove(&item.id) {
+            match item_counts.remove(&item.id) {
                 Some(1) => {}
-                Some(n) => broken("no work doubled", format!("item {} stands {n} times", item.id)),
-                None => broken("true coverage", format!("shard {shard} lacks item {}", item.id)),
+                Some(n) => report_violation(
+                    "no work doubled",
+                    format!("item {} stands {n} times", item.id),
+                ),
+                None => report_violation(
+                    "true coverage",
+                    format!("shard {shard} lacks item {}", item.id),
+                ),
             }
         }
     }
-    for id in got.keys() {
-        broken("true coverage", format!("item {id} belongs to no covered shard"));
+    for id in item_counts.keys() {
+        report_violation("true coverage", format!("item {id} belongs to no covered shard"));
     }
-    found
+    violations
 }
 
-/// Checks what callers were told of orders against what the upstreams ran.
-pub(crate) fn orders(placed: &[Placed], journals: &[Journal]) -> Vec<Broken> {
+/// Checks the outcomes of orders reported to callers against the orders that upstreams ran.
+pub(crate) fn check_orders(replies: &[OrderReply], stats: &[Stats]) -> Vec<Violation> {
     let mut runs: BTreeMap<&str, u32> = BTreeMap::new();
-    for (name, count) in journals.iter().flat_map(|j| &j.orders) {
+    for (name, count) in stats.iter().flat_map(|j| &j.orders) {
         *runs.entry(name).or_default() += count;
     }
-    let mut found = Vec::new();
+    let mut violations = Vec::new();
     for (name, count) in runs.iter().filter(|(_, count)| **count > 1) {
         let seen = format!("ran {count} times");
         let promise = "an order runs at most once";
-        found.push(Broken { promise, query: (*name).into(), seen });
+        violations.push(Violation { promise, query: (*name).into(), seen });
     }
-    for order in placed {
-        let count = runs.get(order.name.as_str()).copied().unwrap_or(0);
-        let promise = match (order.outcome.as_str(), count) {
+    for reply in replies {
+        let count = runs.get(reply.name.as_str()).copied().unwrap_or(0);
+        let promise = match (reply.outcome.as_str(), count) {
             ("not_run", 1..) => "a refusal that says not run is true",
             ("ran", 0) => "no work lost",
             _ => continue,
         };
-        let seen = format!("told {}, ran {count} times", order.outcome);
-        found.push(Broken { promise, query: order.name.clone(), seen });
+        let seen = format!("told {}, ran {count} times", reply.outcome);
+        violations.push(Violation { promise, query: reply.name.clone(), seen });
     }
-    found
+    violations
 }
--- a/crates/tgw-demo/src/client.rs
+++ b/crates/tgw-demo/src/client.rs
@@ -3,25 +3,26 @@
 use http_body_util::{BodyExt, Full};
 use hyper::{Method, Request, StatusCode};
 use hyper_util::{
-    client::legacy::{Client as Pool, connect::HttpConnector},
+    client::legacy::{Client as HttpClient, connect::HttpConnector},
     rt::TokioExecutor,
 };
 use std::{net::SocketAddr, time::Duration};
 
-/// Calls as a caller or an operator makes them.
+/// HTTP client of callers and operators.
 #[derive(Clone)]
-pub struct Client(Pool<HttpConnector, Full<Bytes>>);
+pub struct Client(HttpClient<HttpConnector, Full<Bytes>>);
 
 impl Default for Client {
     fn default() -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        Self(Pool::builder(TokioExecutor::new()).build(connector))
+        Self(HttpClient::builder(TokioExecutor::new()).build(connector))
     }
 }
 
 impl Client {
-    /// One call; headers as pairs. Errors: no whole response within `limit`.
+    /// Sends one request, with headers as name-value pairs. Fails if no complete response is received
+    /// within `time_limit`.
     pub async fn call(
         &self,
         method: Method,
@@ -29,7 +30,7 @@
         path: &str,
         headers: &[(&str, &str)],
         body: Bytes,
-        limit: Duration,
+        time_limit: Duration,
     ) -> anyhow::Result<(StatusCode, Bytes)> {
         let mut builder = Request::builder().method(method).uri(format!("http://{addr}{path}"));
         for (name, value) in headers {
@@ -42,6 +43,6 @@
             let bytes = response.into_body().collect().await?.to_bytes();
             anyhow::Ok((status, bytes))
         };
-        tokio::time::timeout(limit, exchange).await.context("no response in time")?
+        tokio::time::timeout(time_limit, exchange).await.context("no response in time")?
     }
 }
--- a/crates/tgw-demo/src/fault.rs
+++ b/crates/tgw-demo/src/fault.rs
@@ -1,31 +1,31 @@
-//! Faults that are brought about while queries run.
+//! Faults injected while queries run.
 
 use derive_more::Display;
 use serde::Serialize;
 
-/// A fault.
+/// A fault to inject.
 #[derive(Copy, Clone, Debug, Display, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fault {
     /// One upstream in twenty is ten times slower.
     #[display("straggler")]
     Straggler,
-    /// One replica of every shard breaks all connections.
+    /// One replica of every shard closes all connections without a response.
     #[display("replica-lost")]
     ReplicaLost,
-    /// A newer index version arrives, replica by replica, and the older one goes.
+    /// A new index version is rolled out replica by replica, then the old one is removed.
     #[display("version")]
     Version,
-    /// A new layout with twice the shards arrives in the same way.
+    /// A layout with twice the shards (half of them if injected again) is rolled out in the same way.
     #[display("repartition")]
     Repartition,
-    /// Some replies belong to other requests or are truncated.
+    /// Some replies are those of other requests or are truncated.
     #[display("crossed")]
     Crossed,
-    /// The VM that owns most groups is killed.
+    /// The last running VM is killed, with the replica groups it owns.
     #[display("kill-owner")]
     KillOwner,
-    /// The VM that owns most groups is frozen, with its timers and sockets, and resumes.
+    /// The last running VM is paused, with its timers and sockets, and later resumes.
     #[display("pause-owner")]
     PauseOwner,
     /// A VM is drained and replaced.
@@ -34,10 +34,10 @@
     /// The platform refuses every call.
     #[display("store-down")]
     StoreDown,
-    /// A failure domain is cut off from the others.
+    /// The VMs of one failure domain are partitioned from the others.
     #[display("partition")]
     Partition,
-    /// An upstream leaves, while its health and load say that all is well.
+    /// An upstream drains while its health and load endpoints report no drain.
     #[display("drain")]
     Drain,
 }
@@ -58,7 +58,7 @@
         Self::Drain,
     ];
 
-    /// The fault of that name.
+    /// The fault with this name.
     pub fn named(name: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|f| f.to_string() == name)
     }
--- a/crates/tgw-demo/src/fleet.rs
+++ b/crates/tgw-demo/src/fleet.rs
@@ -1,4 +1,4 @@
-use crate::way::{From, Ways};
+use crate::links::{Links, VmNetwork};
 use anyhow::Context;
 use serde_json::json;
 use std::{
@@ -21,78 +21,78 @@
 use tgw_topology::{Catalog, Place, catalog::Part};
 use tokio::{net::TcpListener, sync::watch, task::LocalSet};
 
-const KEY: &str = "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff";
-/// The operators' token of a demo.
-pub const TOKEN: &str = "demo-operators-token";
-/// How long VMs may take until all take queries.
-const READY: Duration = Duration::from_secs(20);
+const PEER_KEY: &str = "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff";
+/// Operators' token of a demo.
+pub const ADMIN_TOKEN: &str = "demo-operators-token";
+/// Time within which all VMs must accept queries after their start.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How large a demo is.
+/// Size of a demo.
 #[derive(Clone, Debug)]
 pub struct Size {
-    /// The user.
+    /// User whose services and table are run.
     pub user: User,
-    /// VMs; each next one in the next failure domain.
+    /// Number of VMs, assigned to the failure domains round-robin.
     pub vms: usize,
-    /// How instances' upstreams lie.
+    /// Placement of each instance's upstreams.
     pub spread: Spread,
-    /// Whether delays between places are added.
+    /// Whether network delays between places are simulated.
     pub distances: bool,
-    /// Seed of all that is random.
+    /// Random seed.
     pub seed: u64,
-    /// One in this many queries has its decisions logged.
+    /// The decisions of one in this many queries are logged.
     pub sample: u64,
-    /// Where the first VM's core is recorded.
+    /// File to which a trace of the first VM is written.
     pub record: Option<PathBuf>,
 }
 
 /// One VM of a demo.
 pub struct Vm {
-    /// Its name.
+    /// Name of the VM.
     pub name: String,
-    /// Its place.
+    /// Region and failure domain of the VM.
     pub place: Place,
-    /// Stops its threads.
+    /// Pauses and resumes its threads.
     pub freeze: Freeze,
-    /// Its process; `None` after it was killed or drained.
+    /// The running VM; `None` after it was killed or drained.
     pub handle: Option<Handle>,
 }
 
 /// The stand-ins and VMs of one demo.
 pub struct Fleet {
-    /// The size it was made with.
+    /// Size of the demo.
     pub size: Size,
     /// The stand-in platform.
     pub platform: Platform,
-    /// Where the platform listens.
+    /// Address of the stand-in platform.
     pub platform_addr: SocketAddr,
-    /// The stand-in upstreams, by number.
+    /// The stand-in upstreams, ordered by number.
     pub upstreams: Vec<Upstream>,
-    /// Services and upstreams.
+    /// Catalog of services and upstreams.
     pub catalog: Catalog,
     /// The VMs.
     pub vms: Vec<Vm>,
-    pub(crate) ways: Ways,
+    pub(crate) links: Links,
     stop: watch::Sender<bool>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Fleet {
-    /// Starts stand-ins and VMs and waits until all take queries.
+    /// Starts the stand-ins and VMs and waits until all VMs accept queries.
     pub fn open(size: Size) -> anyhow::Result<Self> {
         let catalog = size.user.catalog(size.spread);
-        let (stop, stopped) = watch::channel(false);
+        let (stop, stop_signal) = watch::channel(false);
         let (ready, started) = mpsc::channel();
         let (user, seed) = (size.user, size.seed);
         let thread = std::thread::Builder::new().name("stand-ins".into()).spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
             if let Ok(runtime) = runtime {
-                let started = stand_ins(user, catalog, seed, ready, stopped);
+                let started = serve_stand_ins(user, catalog, seed, ready, stop_signal);
                 let _ = LocalSet::new().block_on(&runtime, started);
             }
         })?;
         let (platform, platform_addr, upstreams, catalog) =
-            started.recv().context("the stand-ins did not start")?;
+            started.recv().context("cannot start the stand-ins")?;
         let mut fleet = Self {
             size,
             platform,
@@ -100,20 +100,20 @@
             upstreams,
             catalog,
             vms: Vec::new(),
-            ways: Ways::default(),
+            links: Links::default(),
             stop,
             thread: Some(thread),
         };
         fleet.publish(1)?;
         for index in 0..fleet.size.vms {
-            let vm = fleet.start(index, format!("{}-{index}", fleet.size.user))?;
+            let vm = fleet.start_vm(index, format!("{}-{index}", fleet.size.user))?;
             fleet.vms.push(vm);
         }
         fleet.wait_ready()?;
         Ok(fleet)
     }
 
-    /// Writes the user's table and all services to the platform.
+    /// Writes the user's table, as edition `edit`, and all services to the platform.
     fn publish(&self, edit: u64) -> anyhow::Result<()> {
         let mut table = self.size.user.table();
         table.edit = edit;
@@ -124,22 +124,23 @@
         Ok(())
     }
 
-    /// Writes one service, as it stands in `catalog`, to the platform.
+    /// Writes the entry of one service in `catalog` to the platform.
     pub fn publish_service(&self, name: &str) -> anyhow::Result<()> {
-        let entry = self.catalog.service(name).context("no such service")?;
+        let entry = self.catalog.service(name).context("no service with this name")?;
         let own = self.catalog.upstreams.values().filter(|u| u.service == entry.id);
         let part = Part { entry: entry.clone(), upstreams: own.cloned().collect(), changed: 0 };
         self.platform.write("service", name, serde_json::to_value(&part)?);
         Ok(())
     }
 
-    /// Starts one VM in the domain of its number; it finds the others through the platform's list.
-    pub fn start(&self, index: usize, name: String) -> anyhow::Result<Vm> {
-        self.start_with_seeds(index, name, &[])
+    /// Starts VM number `index` in its failure domain; it finds the others through the platform's list of
+    /// VMs.
+    pub fn start_vm(&self, index: usize, name: String) -> anyhow::Result<Vm> {
+        self.start_vm_with_seeds(index, name, &[])
     }
 
-    /// Starts one VM that asks `seeds` first.
-    pub fn start_with_seeds(
+    /// Starts VM number `index`, which contacts the peers `seeds` first.
+    pub fn start_vm_with_seeds(
         &self,
         index: usize,
         name: String,
@@ -149,7 +150,7 @@
         let mut settings = self.settings(&name, place)?;
         settings.peer.seeds = seeds.to_vec();
         let distance = self.size.user.distance();
-        let network = From { ways: self.ways.clone(), place, distance };
+        let network = VmNetwork { links: self.links.clone(), place, distance };
         let mut options = Options::new(settings);
         if self.size.distances {
             options.network = Arc::new(network);
@@ -163,7 +164,7 @@
         }
         let freeze = options.freeze.clone();
         let handle = tgw_serve::spawn(options)?;
-        self.ways.add(handle.peers(), place);
+        self.links.add_vm(handle.peers(), place);
         let addr = handle.peers().to_string();
         self.platform.write("vm", &name, json!({ "addr": addr }));
         Ok(Vm { name, place, freeze, handle: Some(handle) })
@@ -173,19 +174,19 @@
         let text = format!(
             "[vm]\nname = {name}\nregion = {}\ndomain = {}\ndrain_grace_ms = 300\n\
              [listen]\ncallers = 127.0.0.1:0\noperators = 127.0.0.1:0\npeers = 127.0.0.1:0\n\
-             [platform]\naddr = {}\n[peer]\nkey = {KEY}\nadmin_token = {TOKEN}\n\
+             [platform]\naddr = {}\n[peer]\nkey = {PEER_KEY}\nadmin_token = {ADMIN_TOKEN}\n\
              [network]\n{}\n[log]\nsample = {}\n",
             place.region.0,
             place.domain.0,
             self.platform_addr,
-            self.network(),
+            self.network_settings(),
             self.size.sample,
         );
         tgw_settings::parse("demo", &text)
-            .map_err(|findings| anyhow::anyhow!("the demo's settings: {findings:?}"))
+            .map_err(|findings| anyhow::anyhow!("invalid demo settings: {findings:?}"))
     }
 
-    fn network(&self) -> String {
+    fn network_settings(&self) -> String {
         let distance = self.size.user.distance();
         let us = |ms: f64| Millis::from_f64(if self.size.distances { ms } else { 0.0 }).as_micros();
         format!(
@@ -196,29 +197,31 @@
         )
     }
 
-    /// Where callers reach the VMs that run.
+    /// Addresses at which the running VMs serve callers.
     pub fn entries(&self) -> Vec<SocketAddr> {
         self.vms.iter().filter_map(|vm| vm.handle.as_ref()).map(Handle::callers).collect()
     }
 
-    /// Waits until all running VMs take queries and see one another.
+    /// Waits until all running VMs accept queries and know of one another.
     pub fn wait_ready(&self) -> anyhow::Result<()> {
-        let until = std::time::Instant::now() + READY;
+        let until = std::time::Instant::now() + READY_TIMEOUT;
         let running = || self.vms.iter().filter_map(|vm| vm.handle.as_ref());
         let count = running().count() as u64;
         while !running().all(|h| h.ready() && h.members() >= count) {
             if std::time::Instant::now() > until {
                 let seen: Vec<u64> = running().map(Handle::members).collect();
-                anyhow::bail!("the VMs did not become ready; each sees {seen:?} of {count}");
+                anyhow::bail!(
+                    "VMs not ready in time; members known to each: {seen:?}, expected {count}"
+                );
             }
             std::thread::sleep(Duration::from_millis(20));
         }
         Ok(())
     }
 
-    /// Drains all VMs and stops the stand-ins; the names of VMs that left something undone.
+    /// Drains all VMs and stops the stand-ins; returns the names of VMs that left requests unfinished.
     pub fn close(mut self) -> Vec<String> {
-        let mut undone = Vec::new();
+        let mut unfinished = Vec::new();
         let drains: Vec<(String, JoinHandle<bool>)> = self
             .vms
             .iter_mut()
@@ -230,31 +233,31 @@
             .collect();
         for (name, drain) in drains {
             if !drain.join().unwrap_or(false) {
-                undone.push(name);
+                unfinished.push(name);
             }
         }
         let _ = self.stop.send(true);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
-        undone
+        unfinished
     }
 }
 
-type Started = (Platform, SocketAddr, Vec<Upstream>, Catalog);
+type StandIns = (Platform, SocketAddr, Vec<Upstream>, Catalog);
 
-/// Serves the platform and all upstreams until `stop` changes.
-async fn stand_ins(
+/// Serves the platform and all upstreams until `stop` changes; sends them to `ready` first.
+async fn serve_stand_ins(
     user: User,
     mut catalog: Catalog,
     seed: u64,
-    ready: mpsc::Sender<Started>,
+    ready: mpsc::Sender<StandIns>,
     mut stop: watch::Receiver<bool>,
 ) -> anyhow::Result<()> {
-    let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
+    let any_port = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
     let mut listeners = Vec::new();
     for node in catalog.upstreams.values_mut() {
-        let listener = TcpListener::bind(any).await?;
+        let listener = TcpListener::bind(any_port).await?;
         node.addr = listener.local_addr()?;
         listeners.push((node.clone(), listener));
     }
@@ -262,13 +265,13 @@
     let mut upstreams = Vec::new();
     for (node, listener) in listeners {
         let connect = Millis::new(sizes[usize::from(node.service.0)].connect_ms);
-        let own = seed.wrapping_mul(1009).wrapping_add(u64::from(node.id.0) + 1);
-        let upstream = Upstream::new(&catalog, &node, connect, own);
+        let upstream_seed = seed.wrapping_mul(1009).wrapping_add(u64::from(node.id.0) + 1);
+        let upstream = Upstream::new(&catalog, &node, connect, upstream_seed);
         upstreams.push(upstream.clone());
         tokio::task::spawn_local(async move { upstream.serve(listener).await });
     }
     let platform = Platform::default();
-    let listener = TcpListener::bind(any).await?;
+    let listener = TcpListener::bind(any_port).await?;
     let addr = listener.local_addr()?;
     let serving = platform.clone();
     tokio::task::spawn_local(async move { serving.serve(listener).await });
--- a/crates/tgw-demo/src/lib.rs
+++ b/crates/tgw-demo/src/lib.rs
@@ -1,25 +1,25 @@
 //! The demo: a stand-in platform, stand-in upstreams and several VMs on loopback in one process,
-//! at a user's size, with queries, faults, and a checker that compares every answer with what the
-//! stand-ins hold and ran.
+//! at the size of a user's installation, with queries, injected faults, and a checker that compares every
+//! answer with the contents of the stand-ins and the orders they ran.
 
-/// Compares answers with what the stand-ins hold and ran.
+/// Checks of answers and orders.
 pub mod check;
-/// Calls as a caller makes them.
+/// HTTP client of callers and operators.
 mod client;
-/// Faults that are brought about while queries run.
+/// Faults injected while queries run.
 pub mod fault;
-/// The stand-ins and VMs of one demo.
+/// Stand-ins and VMs of a demo.
 mod fleet;
-/// The load and its result.
+/// Simulated delays and partitions between the VMs.
+mod links;
+/// Load generator and its result.
 mod load;
-/// What the demo prints.
+/// Result of a demo.
 pub mod report;
-/// Runs one demo.
+/// Runs a demo.
 mod run;
-/// Delays and cuts between the VMs.
-mod way;
 
 pub use client::Client;
-pub use fleet::{Fleet, Size, TOKEN};
+pub use fleet::{ADMIN_TOKEN, Fleet, Size};
 pub use report::Report;
 pub use run::{Options, Ready, hold, run};
--- a/crates/tgw-demo/src/way.rs
+++ b/crates/tgw-demo/src/links.rs
@@ -13,32 +13,32 @@
 #[derive(Debug, Default)]
 struct State {
     places: BTreeMap<SocketAddr, Place>,
-    cut: BTreeSet<(Domain, Domain)>,
+    cut_links: BTreeSet<(Domain, Domain)>,
 }
 
-/// The ways between all VMs of a demo.
+/// Simulated network links between the VMs of a demo.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Ways(Arc<RwLock<State>>);
+pub(crate) struct Links(Arc<RwLock<State>>);
 
-impl Ways {
-    /// Tells where the VM at `addr` lies.
-    pub(crate) fn add(&self, addr: SocketAddr, place: Place) {
+impl Links {
+    /// Registers the place of the VM at `addr`.
+    pub(crate) fn add_vm(&self, addr: SocketAddr, place: Place) {
         self.write(|state| {
             state.places.insert(addr, place);
         });
     }
 
-    /// Cuts a domain off from every other, or joins it again.
-    pub(crate) fn isolate(&self, domain: Domain, cut: bool) {
+    /// Partitions a failure domain from all others, or reconnects it.
+    pub(crate) fn isolate(&self, domain: Domain, is_cut: bool) {
         self.write(|state| {
             let others: BTreeSet<Domain> =
                 state.places.values().map(|p| p.domain).filter(|d| *d != domain).collect();
             for other in others {
-                for pair in [(domain, other), (other, domain)] {
-                    if cut {
-                        state.cut.insert(pair);
+                for link in [(domain, other), (other, domain)] {
+                    if is_cut {
+                        state.cut_links.insert(link);
                     } else {
-                        state.cut.remove(&pair);
+                        state.cut_links.remove(&link);
                     }
                 }
             }
@@ -50,20 +50,20 @@
     }
 }
 
-/// The ways as one VM sees them.
-pub(crate) struct From {
-    pub(crate) ways: Ways,
+/// The network as one VM sees it.
+pub(crate) struct VmNetwork {
+    pub(crate) links: Links,
     pub(crate) place: Place,
     pub(crate) distance: Distance,
 }
 
-impl Network for From {
+impl Network for VmNetwork {
     fn way(&self, to: SocketAddr) -> Way {
-        let state = self.ways.0.read().unwrap_or_else(std::sync::PoisonError::into_inner);
-        let Some(there) = state.places.get(&to) else { return Way::Open(Millis::ZERO) };
-        if state.cut.contains(&(self.place.domain, there.domain)) {
+        let state = self.links.0.read().unwrap_or_else(std::sync::PoisonError::into_inner);
+        let Some(remote) = state.places.get(&to) else { return Way::Open(Millis::ZERO) };
+        if state.cut_links.contains(&(self.place.domain, remote.domain)) {
             return Way::Cut;
         }
-        Way::Open(Millis::from_f64(self.distance.between(self.place, *there)))
+        Way::Open(Millis::from_f64(self.distance.between(self.place, *remote)))
     }
 }
--- a/crates/tgw-demo/src/report.rs
+++ b/crates/tgw-demo/src/report.rs
@@ -1,64 +1,64 @@
-//! What the demo prints.
+//! Result of a demo, as printed.
 
-use crate::check::Broken;
+use crate::check::Violation;
 use serde::Serialize;
 use std::{collections::BTreeMap, fmt};
 
-/// One demo's result.
+/// Result of a demo.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// The user whose size was run.
+    /// User whose services and table were run.
     pub user: String,
-    /// VMs of the tier.
+    /// Number of VMs.
     pub vms: usize,
-    /// Upstreams.
+    /// Number of upstreams.
     pub upstreams: usize,
     /// Queries sent.
     pub queries: u64,
-    /// Whole answers.
+    /// Answers that cover all shards.
     pub answered: u64,
-    /// Partial answers.
+    /// Partial answers with at least the least coverage.
     pub partial: u64,
-    /// Answers below the row's least coverage.
+    /// Answers below the least coverage of the service's table row.
     pub short: u64,
     /// Queries refused as not run.
     pub refused: u64,
-    /// Queries without a response.
+    /// Queries without a valid response.
     pub failed: u64,
-    /// Sendings of orders that were told to have run.
+    /// Order requests answered as run.
     pub orders_ran: u64,
-    /// Sendings of orders that were told not to have run.
+    /// Order requests answered as not run.
     pub orders_not_run: u64,
-    /// Sendings of orders without a certain outcome.
+    /// Order requests with an unknown outcome or without a response.
     pub orders_unknown: u64,
-    /// Orders that upstreams ran.
+    /// Distinct orders that upstreams ran, summed over the upstreams.
     pub orders_at_upstreams: u64,
-    /// Writes to the platform for all orders.
+    /// Writes to the platform.
     pub platform_writes: u64,
-    /// Median latency as the caller measured it.
+    /// Median latency measured by callers.
     pub p50_ms: f64,
-    /// 99 in 100.
+    /// 99th percentile of the latency.
     pub p99_ms: f64,
-    /// 999 in 1000.
+    /// 99.9th percentile of the latency.
     pub p999_ms: f64,
-    /// Covered part of all shards of all answered queries.
+    /// Ratio of covered shards to all shards, over all answered queries.
     pub coverage: f64,
-    /// Searches begun at upstreams for each shard asked for, less one.
+    /// Searches and orders started at upstreams per requested shard, minus one.
     pub extra_load: f64,
-    /// Connections made to upstreams.
+    /// Connections that upstreams accepted.
     pub connections: u64,
-    /// Connections that upstreams refused over their limit.
+    /// Connections that upstreams refused above their limit.
     pub connections_refused: u64,
-    /// Calls of the platform.
+    /// Calls to the platform.
     pub platform_calls: u64,
-    /// Processor time of the tier's threads for a leaf request, in µs.
+    /// CPU time of the VMs' threads per leaf request, in µs.
     pub tier_cpu_us_per_leaf: f64,
-    /// The same by duty.
+    /// The same by thread name.
     pub duty_cpu_us_per_leaf: BTreeMap<String, f64>,
-    /// Faults brought about, with the time.
+    /// Start and end of each injected fault.
     pub faults: Vec<String>,
-    /// Promises seen broken.
-    pub broken_promises: Vec<Broken>,
+    /// Observed violations of guarantees.
+    pub broken_promises: Vec<Violation>,
 }
 
 impl fmt::Display for Report {
--- a/crates/tgw-standin/src/corpus.rs
+++ b/crates/tgw-standin/src/corpus.rs
@@ -1,33 +1,33 @@
-//! What the stand-in upstreams hold: a pure function of snapshot, shard and query.
+//! Contents of the stand-in upstreams: a pure function of snapshot, shard and query.
 
 use serde::{Deserialize, Serialize};
 use tgw_topology::{Service, Shard, Snapshot};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Items of a service at version zero; each version adds one.
-const ITEMS: u64 = 600;
-/// One in this many items matches a query.
-const MATCH: u64 = 8;
+/// Items of a service at index version zero; each version adds one.
+const ITEMS_AT_VERSION_ZERO: u64 = 600;
+/// On average, one in this many items matches a query.
+const ITEMS_PER_MATCH: u64 = 8;
 
-/// One item as an upstream returns it.
+/// An item returned by an upstream.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Item {
-    /// Its identity within the service.
+    /// Id, unique within the service.
     pub id: u64,
-    /// The index version that it was read from.
+    /// Index version that the item was read from.
     pub version: u32,
     /// The service.
     pub service: u16,
-    /// The hash of the query that it matches, so that a foreign answer is seen.
+    /// Hash of the query that the item matches, so that an answer to another query is detected.
     pub query: u64,
 }
 
-/// The hash of a query's body.
-pub fn query(body: &[u8]) -> u64 {
+/// Hashes the body of a query.
+pub fn query_hash(body: &[u8]) -> u64 {
     xxh3_64(body)
 }
 
-/// The items of one shard that match a query. `shards` is the number of shards of the layout.
+/// Returns the items of one shard that match a query. `shards` is the layout's number of shards.
 pub fn items(
     service: Service,
     snapshot: Snapshot,
@@ -35,11 +35,11 @@
     shard: Shard,
     body: &[u8],
 ) -> Vec<Item> {
-    let query = query(body);
-    let all = ITEMS + u64::from(snapshot.version);
-    let step = shards.max(1) as usize;
-    (u64::from(shard.0)..all)
-        .step_by(step)
+    let query = query_hash(body);
+    let item_count = ITEMS_AT_VERSION_ZERO + u64::from(snapshot.version);
+    let shard_count = shards.max(1) as usize;
+    (u64::from(shard.0)..item_count)
+        .step_by(shard_count)
         .filter(|id| matches(*id, query))
         .map(|id| Item { id, version: snapshot.version, service: service.0, query })
         .collect()
@@ -47,5 +47,5 @@
 
 fn matches(id: u64, query: u64) -> bool {
     let mixed = (id ^ query).wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(29);
-    mixed.is_multiple_of(MATCH)
+    mixed.is_multiple_of(ITEMS_PER_MATCH)
 }
--- a/crates/tgw-standin/src/http.rs
+++ b/crates/tgw-standin/src/http.rs
@@ -5,16 +5,16 @@
 use std::{convert::Infallible, future::Future, io, rc::Rc};
 use tokio::net::{TcpListener, TcpStream};
 
-/// What a handler returns: a response, or nothing to break the connection unanswered.
+/// Result of a handler: a response, or `None` to close the connection without one.
 pub(crate) type Reply = Option<Response<Full<Bytes>>>;
 
-/// A connection that was broken on purpose.
+/// The handler closes the connection without a response.
 #[derive(Debug, derive_more::Display, derive_more::Error)]
-#[display("the connection was broken on purpose")]
-pub(crate) struct Broken;
+#[display("connection closed without a response by an injected fault")]
+pub(crate) struct Aborted;
 
-/// Serves one connection until its end.
-pub(crate) async fn connection<F, W>(stream: TcpStream, handler: Rc<F>)
+/// Serves one connection until it closes.
+pub(crate) async fn serve_connection<F, W>(stream: TcpStream, handler: Rc<F>)
 where
     F: Fn(Request<Incoming>) -> W + 'static,
     W: Future<Output = Reply>,
@@ -22,7 +22,7 @@
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |request| {
         let reply = handler(request);
-        async move { reply.await.ok_or(Broken) }
+        async move { reply.await.ok_or(Aborted) }
     });
     let _ = http1::Builder::new()
         .timer(TokioTimer::new())
@@ -30,20 +30,20 @@
         .await;
 }
 
-/// Accepts connections for as long as the listener lives.
-pub(crate) async fn accept<F, W>(listener: TcpListener, admit: F) -> Result<Infallible, io::Error>
+/// Accepts connections until the listener fails.
+pub(crate) async fn accept<F, W>(listener: TcpListener, serve: F) -> Result<Infallible, io::Error>
 where
     F: Fn(TcpStream) -> W,
     W: Future<Output = ()> + 'static,
 {
     loop {
         let (stream, _) = listener.accept().await?;
-        tokio::task::spawn_local(admit(stream));
+        tokio::task::spawn_local(serve(stream));
     }
 }
 
-/// A response with a JSON body.
-pub(crate) fn json(status: u16, body: impl Into<Bytes>) -> Response<Full<Bytes>> {
+/// Creates a response with a JSON body.
+pub(crate) fn json_response(status: u16, body: impl Into<Bytes>) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(body.into()));
     *response.status_mut() =
         hyper::StatusCode::from_u16(status).unwrap_or(hyper::StatusCode::INTERNAL_SERVER_ERROR);
--- a/crates/tgw-standin/src/lib.rs
+++ b/crates/tgw-standin/src/lib.rs
@@ -1,14 +1,14 @@
-//! Stand-ins for what lies outside the tier: upstreams and the platform's object API, on loopback,
-//! seeded, with the faults that the real ones have. Also the two users' sizes and the corpus that a
-//! checker compares answers with.
+//! Stand-ins for the tier's dependencies: upstreams and the platform's object API, served on
+//! loopback, seeded, with injectable faults. Also the sizes of the two users' installations and the
+//! corpus that a checker compares answers with.
 
-/// What the stand-in upstreams hold: a pure function of snapshot, shard and query.
+/// Contents of the stand-in upstreams.
 pub mod corpus;
-/// HTTP service on one listener.
+/// HTTP/1 server on one listener.
 mod http;
 /// The stand-in platform.
 pub mod platform;
-/// The two users' sizes.
+/// Sizes of the two users' installations.
 pub mod size;
 /// The stand-in upstream.
 pub mod upstream;
--- a/crates/tgw-standin/src/platform.rs
+++ b/crates/tgw-standin/src/platform.rs
@@ -1,6 +1,6 @@
-//! The stand-in platform: objects with versions, conditional writes and watches, with its faults:
-//! down, slow, replies lost after the write took effect, watches cut, history compacted, and the
-//! rates that it allows. Every call is counted; a waiting watch counts as one.
+//! The stand-in platform: versioned objects with conditional writes and watches. Injectable faults:
+//! outage, delay, replies lost after the write took effect, failing watches, compacted history and a
+//! limited write rate. Every call is counted; a waiting watch counts as one.
 
 use crate::http::{self, Reply};
 use bytes::Bytes;
@@ -22,28 +22,27 @@
     time::{Instant, sleep, timeout_at},
 };
 
-/// Changes that are kept for watches.
-const HISTORY: usize = 10_000;
-/// The longest that a watch waits.
-const LONGEST_WATCH: Duration = Duration::from_secs(60);
+/// Maximum number of changes retained for watches.
+const MAX_HISTORY: usize = 10_000;
+const MAX_WATCH_WAIT: Duration = Duration::from_secs(60);
 
-/// What is wrong with the platform now.
+/// Faults in effect.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Faults {
-    /// It refuses every call.
+    /// Refuses every call.
     pub down: bool,
-    /// Every call takes this much longer, in milliseconds.
+    /// Delay added to every call, in milliseconds.
     pub slow_ms: u64,
-    /// The replies to this many writes to come are lost after the write took effect.
+    /// Drops the replies of the next writes, this many, after they have taken effect.
     pub lose_replies: u32,
-    /// Watches end at once, and with an error.
+    /// Fails every watch at once.
     pub cut_watches: bool,
-    /// Writes allowed in one second; zero for no limit.
+    /// Writes allowed per second; zero for no limit.
     pub writes_per_s: u32,
 }
 
-/// Calls counted since the start.
+/// Number of calls since the start.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Calls {
     /// Single reads.
@@ -52,9 +51,9 @@
     pub lists: u64,
     /// Watches, each wait counted as one.
     pub watches: u64,
-    /// Writes and deletions that were tried.
+    /// Attempted writes and deletions.
     pub writes: u64,
-    /// Calls refused while down or over the rate.
+    /// Calls refused during an outage or above the write rate.
     pub refused: u64,
 }
 
@@ -63,11 +62,11 @@
     version: Version,
     objects: BTreeMap<(String, String), Object>,
     history: Vec<Object>,
-    /// Changes up to this version are no longer kept.
+    /// Changes up to this version have been dropped from the history.
     compacted: Version,
     faults: Faults,
     calls: Calls,
-    window: Option<(Instant, u32)>,
+    rate_window: Option<(Instant, u32)>,
 }
 
 /// A running stand-in platform.
@@ -75,13 +74,13 @@
 pub struct Platform(Arc<(Mutex<State>, Notify)>);
 
 impl Platform {
-    /// Changes what is wrong.
+    /// Changes the faults in effect.
     pub fn set(&self, change: impl FnOnce(&mut Faults)) {
         change(&mut self.lock().faults);
         self.0.1.notify_waiters();
     }
 
-    /// Forgets all history, so that watches from earlier versions are refused as gone.
+    /// Drops all history, so that watches from earlier versions are refused with status 410.
     pub fn compact(&self) {
         let mut state = self.lock();
         state.compacted = state.version;
@@ -89,12 +88,12 @@
         self.0.1.notify_waiters();
     }
 
-    /// Calls counted since the start.
+    /// Number of calls since the start.
     pub fn calls(&self) -> Calls {
         self.lock().calls.clone()
     }
 
-    /// Writes an object whatever its version, as the platform's owner does.
+    /// Writes an object unconditionally.
     pub fn write(&self, kind: &str, name: &str, value: Value) -> Version {
         let version = self.lock().write(kind, name, value);
         self.0.1.notify_waiters();
@@ -106,17 +105,17 @@
         self.lock().objects.get(&(kind.into(), name.into())).cloned()
     }
 
-    /// All objects of a kind, without counting a call.
-    pub fn all(&self, kind: &str) -> Vec<Object> {
-        self.lock().of(kind)
+    /// Returns all objects of a kind without counting a call.
+    pub fn objects_of_kind(&self, kind: &str) -> Vec<Object> {
+        self.lock().objects_of_kind(kind)
     }
 
     /// Serves on `listener` within the current `LocalSet` for as long as it is polled.
     pub async fn serve(&self, listener: TcpListener) -> io::Result<()> {
         let accept = http::accept(listener, |stream| {
-            let this = self.clone();
-            let handler = Rc::new(move |request| this.clone().handle(request));
-            http::connection(stream, handler)
+            let platform = self.clone();
+            let handler = Rc::new(move |request| platform.clone().handle(request));
+            http::serve_connection(stream, handler)
         });
         accept.await.map(|_| ())
     }
@@ -130,37 +129,37 @@
         let body = Limited::new(body, 2 * LIMIT_BYTES).collect().await.ok()?.to_bytes();
         let path = head.uri.path().to_owned();
         let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
-        let query = Query::read(head.uri.query().unwrap_or_default());
+        let params = Params::parse(head.uri.query().unwrap_or_default());
         if parts == ["faults"] && head.method == Method::PUT {
-            return Some(self.set_faults(&body));
+            return Some(self.replace_faults(&body));
         }
-        if let Some(refusal) = self.admit(&head.method, parts.first() == Some(&"watch")) {
-            return Some(refusal);
+        if let Some(response) = self.check_call(&head.method, parts.first() == Some(&"watch")) {
+            return Some(response);
         }
         let slow = self.lock().faults.slow_ms;
         sleep(Duration::from_millis(slow)).await;
         match (&head.method, parts.as_slice()) {
             (&Method::GET, ["objects", kind]) => Some(self.list(kind)),
             (&Method::GET, ["objects", kind, name]) => Some(self.get(kind, name)),
-            (&Method::GET, ["watch", kind]) => self.watch(kind, &query).await,
-            (&Method::PUT, ["objects", kind, name]) => self.put(kind, name, &query, &body),
-            (&Method::DELETE, ["objects", kind, name]) => self.delete(kind, name, &query),
-            _ => Some(http::json(404, "{}")),
+            (&Method::GET, ["watch", kind]) => self.watch(kind, &params).await,
+            (&Method::PUT, ["objects", kind, name]) => self.put(kind, name, &params, &body),
+            (&Method::DELETE, ["objects", kind, name]) => self.delete(kind, name, &params),
+            _ => Some(http::json_response(404, "{}")),
         }
     }
 
-    fn set_faults(&self, body: &[u8]) -> hyper::Response<http_body_util::Full<Bytes>> {
+    fn replace_faults(&self, body: &[u8]) -> hyper::Response<http_body_util::Full<Bytes>> {
         match serde_json::from_slice(body) {
             Ok(faults) => {
                 self.set(|f| *f = faults);
-                http::json(200, "{}")
+                http::json_response(200, "{}")
             }
-            Err(e) => http::json(400, e.to_string()),
+            Err(e) => http::json_response(400, e.to_string()),
         }
     }
 
-    /// Counts a call; a refusal if it may not be made now.
-    fn admit(
+    /// Counts a call; returns a response if the call is refused.
+    fn check_call(
         &self,
         method: &Method,
         watch: bool,
@@ -174,11 +173,11 @@
         }
         if state.faults.down {
             state.calls.refused += 1;
-            return Some(http::json(503, "down"));
+            return Some(http::json_response(503, "down"));
         }
-        if write && !state.within_rate() {
+        if write && !state.count_write() {
             state.calls.refused += 1;
-            return Some(http::json(429, "too many writes"));
+            return Some(http::json_response(429, "too many writes"));
         }
         None
     }
@@ -187,19 +186,21 @@
         let mut state = self.lock();
         state.calls.gets -= 1;
         state.calls.lists += 1;
-        let list = List { version: state.version, objects: state.of(kind) };
-        http::json(200, serde_json::to_string(&list).unwrap_or_default())
+        let list = List { version: state.version, objects: state.objects_of_kind(kind) };
+        http::json_response(200, serde_json::to_string(&list).unwrap_or_default())
     }
 
     fn get(&self, kind: &str, name: &str) -> hyper::Response<http_body_util::Full<Bytes>> {
         match self.read(kind, name) {
-            Some(object) => http::json(200, serde_json::to_string(&object).unwrap_or_default()),
-            None => http::json(404, "{}"),
+            Some(object) => {
+                http::json_response(200, serde_json::to_string(&object).unwrap_or_default())
+            }
+            None => http::json_response(404, "{}"),
         }
     }
 
-    async fn watch(&self, kind: &str, query: &Query) -> Reply {
-        let until = Instant::now() + Duration::from_millis(query.wait_ms).min(LONGEST_WATCH);
+    async fn watch(&self, kind: &str, params: &Params) -> Reply {
+        let until = Instant::now() + Duration::from_millis(params.wait_ms).min(MAX_WATCH_WAIT);
         loop {
             let changed = self.0.1.notified();
             {
@@ -207,53 +208,56 @@
                 if state.faults.cut_watches || state.faults.down {
                     return None;
                 }
-                if query.from < state.compacted {
-                    return Some(http::json(410, "{}"));
+                if params.from < state.compacted {
+                    return Some(http::json_response(410, "{}"));
                 }
-                let new = |o: &&Object| o.kind == kind && o.version > query.from;
-                let objects: Vec<Object> = state.history.iter().filter(new).cloned().collect();
+                let is_newer = |o: &&Object| o.kind == kind && o.version > params.from;
+                let objects: Vec<Object> = state.history.iter().filter(is_newer).cloned().collect();
                 if !objects.is_empty() || Instant::now() >= until {
                     let list = List { version: state.version, objects };
-                    return Some(http::json(200, serde_json::to_string(&list).unwrap_or_default()));
+                    return Some(http::json_response(
+                        200,
+                        serde_json::to_string(&list).unwrap_or_default(),
+                    ));
                 }
             }
             let _ = timeout_at(until, changed).await;
         }
     }
 
-    fn put(&self, kind: &str, name: &str, query: &Query, body: &[u8]) -> Reply {
+    fn put(&self, kind: &str, name: &str, params: &Params, body: &[u8]) -> Reply {
         if body.len() > LIMIT_BYTES {
-            return Some(http::json(413, "{}"));
+            return Some(http::json_response(413, "{}"));
         }
         let Ok(value) = serde_json::from_slice(body) else {
-            return Some(http::json(400, "{}"));
+            return Some(http::json_response(400, "{}"));
         };
-        self.change(kind, name, query, value)
+        self.change(kind, name, params, value)
     }
 
-    fn delete(&self, kind: &str, name: &str, query: &Query) -> Reply {
-        self.change(kind, name, query, Value::Null)
+    fn delete(&self, kind: &str, name: &str, params: &Params) -> Reply {
+        self.change(kind, name, params, Value::Null)
     }
 
-    fn change(&self, kind: &str, name: &str, query: &Query, value: Value) -> Reply {
+    fn change(&self, kind: &str, name: &str, params: &Params, value: Value) -> Reply {
         let mut state = self.lock();
         let current = state.objects.get(&(kind.into(), name.into())).map_or(0, |o| o.version);
-        if current != query.expected {
-            return Some(http::json(409, json!({ "version": current }).to_string()));
+        if current != params.expected {
+            return Some(http::json_response(409, json!({ "version": current }).to_string()));
         }
         let version = state.write(kind, name, value);
-        let lost = state.faults.lose_replies > 0;
-        if lost {
+        let reply_lost = state.faults.lose_replies > 0;
+        if reply_lost {
             state.faults.lose_replies -= 1;
         }
         drop(state);
         self.0.1.notify_waiters();
-        (!lost).then(|| http::json(200, json!({ "version": version }).to_string()))
+        (!reply_lost).then(|| http::json_response(200, json!({ "version": version }).to_string()))
     }
 }
 
 impl State {
-    fn of(&self, kind: &str) -> Vec<Object> {
+    fn objects_of_kind(&self, kind: &str) -> Vec<Object> {
         self.objects.values().filter(|o| o.kind == kind).cloned().collect()
     }
 
@@ -267,46 +271,47 @@
             self.objects.insert(key, object.clone());
         }
         self.history.push(object);
-        if self.history.len() > HISTORY {
+        if self.history.len() > MAX_HISTORY {
             let dropped = self.history.remove(0);
             self.compacted = dropped.version;
         }
         self.version
     }
 
-    fn within_rate(&mut self) -> bool {
+    /// Counts a write; returns whether it is within the write rate.
+    fn count_write(&mut self) -> bool {
         if self.faults.writes_per_s == 0 {
             return true;
         }
         let now = Instant::now();
-        let (start, used) = self.window.unwrap_or((now, 0));
-        let fresh = now - start >= Duration::from_secs(1);
-        let (start, used) = if fresh { (now, 0) } else { (start, used) };
-        self.window = Some((start, used + 1));
+        let (start, used) = self.rate_window.unwrap_or((now, 0));
+        let new_window = now - start >= Duration::from_secs(1);
+        let (start, used) = if new_window { (now, 0) } else { (start, used) };
+        self.rate_window = Some((start, used + 1));
         used < self.faults.writes_per_s
     }
 }
 
-/// The parameters of a call.
+/// Query parameters of a call.
 #[derive(Default)]
-struct Query {
+struct Params {
     expected: Version,
     from: Version,
     wait_ms: u64,
 }
 
-impl Query {
-    fn read(text: &str) -> Self {
-        let mut query = Self::default();
+impl Params {
+    fn parse(text: &str) -> Self {
+        let mut params = Self::default();
         for (name, value) in text.split('&').filter_map(|p| p.split_once('=')) {
             let number = value.parse().unwrap_or(0);
             match name {
-                "if" => query.expected = number,
-                "from" => query.from = number,
-                "wait_ms" => query.wait_ms = number,
+                "if" => params.expected = number,
+                "from" => params.from = number,
+                "wait_ms" => params.wait_ms = number,
                 _ => {}
             }
         }
-        query
+        params
     }
 }
--- a/crates/tgw-standin/src/size.rs
+++ b/crates/tgw-standin/src/size.rs
@@ -1,4 +1,4 @@
-//! The two users' sizes.
+//! Sizes of the two users' installations: services, upstreams, table and network delays.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
@@ -15,33 +15,33 @@
 };
 
 /// Failure domains of a region.
-pub const DOMAINS: u8 = 2;
+pub const DOMAINS_PER_REGION: u8 = 2;
 /// Regions of each user.
-pub const REGIONS: u8 = 3;
-/// Replicas of a shard of a service without instances.
-const REPLICAS: usize = 3;
-const FIRST: Snapshot = Snapshot { version: 1, layout: Layout(1) };
+pub const REGION_COUNT: u8 = 3;
+/// Maximum replicas of a shard of a service without instances.
+const REPLICA_COUNT: usize = 3;
+const FIRST_SNAPSHOT: Snapshot = Snapshot { version: 1, layout: Layout(1) };
 
 /// One of the two users.
 #[derive(Copy, Clone, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum User {
-    /// Vegetation records along railways: coverage weighs most.
+    /// Vegetation records along railways: coverage matters most.
     #[display("coimbra")]
     Coimbra,
-    /// Cellar temperature logs: tail latency weighs most.
+    /// Cellar temperature logs: tail latency matters most.
     #[display("aspen")]
     Aspen,
 }
 
-/// How an instance's upstreams lie.
+/// Placement of an instance's upstreams over failure domains and regions.
 #[derive(Copy, Clone, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Spread {
-    /// All in one failure domain; instances take the domains in turn.
+    /// All in one failure domain; instances are assigned to the domains round-robin.
     #[display("together")]
     Together,
-    /// Each in another region.
+    /// Each in a different region.
     #[display("apart")]
     Apart,
 }
@@ -49,31 +49,31 @@
 /// The size of one service.
 #[derive(Copy, Clone, Debug)]
 pub struct Size {
-    /// Its name.
+    /// Name of the service.
     pub name: &'static str,
-    /// Instances; zero if its upstreams share all shards.
+    /// Number of instances; zero if any upstream may hold any shard.
     pub instances: u16,
-    /// Upstreams of each instance, or in all.
+    /// Upstreams of each instance, or of the service if it has no instances.
     pub upstreams: u16,
-    /// Slots of an upstream.
-    pub slots: u16,
-    /// Connections of an upstream.
-    pub connections: u16,
-    /// What a new connection costs, in milliseconds.
+    /// Requests that an upstream runs at once.
+    pub max_concurrency: u16,
+    /// Connections that an upstream accepts at once.
+    pub max_connections: u16,
+    /// Time to set up a new connection, in milliseconds.
     pub connect_ms: u64,
-    /// Its row's least coverage.
+    /// Least coverage of a successful answer, in the service's table row.
     pub least_coverage_pct: f64,
-    /// Its row's deadline.
+    /// Deadline of a query, in the service's table row.
     pub deadline_ms: u32,
-    /// Whether it takes orders.
-    pub orders: bool,
+    /// Whether the service accepts orders.
+    pub takes_orders: bool,
 }
 
 impl User {
     /// Both users.
     pub const ALL: [Self; 2] = [Self::Coimbra, Self::Aspen];
 
-    /// The user of that name.
+    /// The user with this name.
     pub fn named(name: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|u| u.to_string() == name)
     }
@@ -87,16 +87,16 @@
     }
 
     /// One-way delay to callers, in milliseconds.
-    pub fn to_callers(self) -> f64 {
+    pub fn caller_delay_ms(self) -> f64 {
         match self {
             Self::Coimbra => 3.0,
             Self::Aspen => 1.0,
         }
     }
 
-    /// The services, in the order of their numbers.
+    /// The services, ordered by their number.
     pub fn services(self) -> [Size; 4] {
-        let (least, deadline) = match self {
+        let (coverage_pct, deadline) = match self {
             Self::Coimbra => (90.0, 1500),
             Self::Aspen => (60.0, 600),
         };
@@ -104,45 +104,45 @@
             name: "inspector-desk",
             instances: 10,
             upstreams: 3,
-            slots: 2,
-            connections: 25,
+            max_concurrency: 2,
+            max_connections: 25,
             connect_ms: 6,
-            least_coverage_pct: least,
+            least_coverage_pct: coverage_pct,
             deadline_ms: deadline,
-            orders: false,
+            takes_orders: false,
         };
-        let plain = |name, upstreams, slots, connections| Size {
+        let without_instances = |name, upstreams, max_concurrency, max_connections| Size {
             name,
             instances: 0,
             upstreams,
-            slots,
-            connections,
+            max_concurrency,
+            max_connections,
             connect_ms: 1,
-            orders: true,
+            takes_orders: true,
             ..instance
         };
         match self {
             Self::Coimbra => [
                 instance,
                 Size { name: "crew-roster", instances: 15, ..instance },
-                plain("permit-office", 8, 4, 100),
-                plain("herbicide-log", 4, 4, 100),
+                without_instances("permit-office", 8, 4, 100),
+                without_instances("herbicide-log", 4, 4, 100),
             ],
             Self::Aspen => [
                 instance,
                 Size { name: "brewery-tech", instances: 15, ..instance },
-                plain("publican-panel", 7, 3, 40),
-                plain("ledger-bridge", 3, 3, 40),
+                without_instances("publican-panel", 7, 3, 40),
+                without_instances("ledger-bridge", 3, 3, 40),
             ],
         }
     }
 
-    /// The table that the user starts with.
+    /// The user's initial table.
     pub fn table(self) -> Document {
         let row = |size: &Size| Row {
             least_coverage_pct: size.least_coverage_pct,
             deadline_ms: size.deadline_ms,
-            orders: size.orders,
+            orders: size.takes_orders,
             snapshot: Choice::Covered,
             changed: 1,
             ..Row::named(size.name)
@@ -151,7 +151,7 @@
         Document { edit: 1, rows, removed: BTreeMap::new() }
     }
 
-    /// Services and upstreams; addresses are unset until the upstreams are started.
+    /// Services and upstreams; the upstreams' ports are zero until they are started.
     pub fn catalog(self, spread: Spread) -> Catalog {
         let mut catalog = Catalog::default();
         for (index, size) in self.services().iter().enumerate() {
@@ -161,10 +161,11 @@
     }
 }
 
-/// The place with number `index`, domains of different regions in turn.
+/// The place of the VM or upstream number `index`: domains round-robin, consecutive ones in different
+/// regions.
 pub fn place(index: usize) -> Place {
-    let domain = (index % usize::from(REGIONS * DOMAINS)) as u8;
-    Place { region: Region(domain % REGIONS), domain: Domain(domain) }
+    let domain = (index % usize::from(REGION_COUNT * DOMAINS_PER_REGION)) as u8;
+    Place { region: Region(domain % REGION_COUNT), domain: Domain(domain) }
 }
 
 fn add(catalog: &mut Catalog, service: Service, size: &Size, spread: Spread) {
@@ -181,17 +182,17 @@
             (_, Spread::Apart) => place(usize::from(instance + member)),
         };
         let id = Upstream(first + u32::from(index));
-        let node = Node {
+        let entry = Node {
             id,
             service,
             instance,
             place,
             addr: SocketAddr::from((Ipv4Addr::LOCALHOST, 0)),
-            slots: size.slots,
-            connections: size.connections,
+            slots: size.max_concurrency,
+            connections: size.max_connections,
             leaving: false,
         };
-        catalog.upstreams.insert(id, node);
+        catalog.upstreams.insert(id, entry);
     }
     let parts = if size.instances > 0 { size.instances } else { size.upstreams };
     let layouts = (1..=2)
@@ -200,7 +201,8 @@
             shards: (0..parts * id as u16).map(|s| replicas(first, size, s % parts)).collect(),
         })
         .collect();
-    let entry = Entry { id: service, name: size.name.into(), snapshots: vec![FIRST], layouts };
+    let entry =
+        Entry { id: service, name: size.name.into(), snapshots: vec![FIRST_SNAPSHOT], layouts };
     catalog.services.insert(service, entry);
 }
 
@@ -209,7 +211,7 @@
     let upstreams = u32::from(size.upstreams);
     let ids: SmallVec<[Upstream; 4]> = match size.instances {
         0 => {
-            let count = REPLICAS.min(usize::from(size.upstreams)) as u32;
+            let count = REPLICA_COUNT.min(usize::from(size.upstreams)) as u32;
             (0..count).map(|r| Upstream(first + (base + r) % upstreams)).collect()
         }
         _ => (0..upstreams).map(|r| Upstream(first + base * upstreams + r)).collect(),
