--- a/crates/tgw-bench/src/policy.rs
+++ b/crates/tgw-bench/src/policy.rs
@@ -8,7 +8,7 @@
 use tgw_clock::Millis;
 use tgw_dispatch::{
     owner,
-    pick::{Candidate, Late, Least, Policy as Pick, Random, RoundRobin},
+    policy::{Candidate, LateBinding, LeastLoad, Policy as DispatchPolicy, Random, RoundRobin},
 };
 use tgw_topology::{Group, Upstream};
 
@@ -72,14 +72,19 @@
     pub(crate) fn options(self) -> owner::Options {
         let hedge = if self.hedges() { 1.0 } else { 0.0 };
         let suspect = matches!(self, Self::Tier | Self::TierNoHedge);
-        owner::Options { hedge, suspect, ramp: self == Self::Tier, ..owner::Options::default() }
+        owner::Options {
+            hedge_budget: hedge,
+            suspect_overdue: suspect,
+            slow_start: self == Self::Tier,
+            ..owner::Options::default()
+        }
     }
 
-    pub(crate) fn pick(self, seed: u64, truth: &Truth, group: Group) -> Box<dyn Pick> {
+    pub(crate) fn pick(self, seed: u64, truth: &Truth, group: Group) -> Box<dyn DispatchPolicy> {
         let own = seed ^ u64::from(group.instance) ^ u64::from(group.service.0) << 16;
         match self {
-            Self::Tier | Self::TierNoHedge | Self::TierNoSuspicion => Box::new(Late),
-            Self::OwnerEarly | Self::DirectLeast => Box::new(Least),
+            Self::Tier | Self::TierNoHedge | Self::TierNoSuspicion => Box::new(LateBinding),
+            Self::OwnerEarly | Self::DirectLeast => Box::new(LeastLoad),
             Self::DirectRandom => Box::new(Random::seeded(own)),
             Self::DirectShares => Box::new(RoundRobin::default()),
             Self::Oracle => Box::new(Foresight(truth.clone())),
@@ -105,7 +110,7 @@
 /// few milliseconds, a slow upstream ten times as long.
 struct Foresight(Truth);
 
-impl Pick for Foresight {
+impl DispatchPolicy for Foresight {
     fn bind(&mut self, _now: Millis, _candidates: &[Candidate]) -> Option<usize> {
         None
     }
@@ -114,9 +119,9 @@
         let fast: Vec<usize> =
             (0..candidates.len()).filter(|i| !self.0.slow(candidates[*i].upstream)).collect();
         if fast.is_empty() {
-            return Late.choose(now, candidates);
+            return LateBinding.choose(now, candidates);
         }
         let usable: Vec<Candidate> = fast.iter().map(|i| candidates[*i]).collect();
-        Late.choose(now, &usable).map(|chosen| fast[chosen])
+        LateBinding.choose(now, &usable).map(|chosen| fast[chosen])
     }
 }
--- a/crates/tgw-bench/src/sim.rs
+++ b/crates/tgw-bench/src/sim.rs
@@ -19,7 +19,7 @@
 use tgw_clock::Millis;
 use tgw_dispatch::{
     Leaf,
-    leaf::{Failure, Held, Reply},
+    leaf::{Failure, HeldSnapshots, Reply},
 };
 use tgw_node::{Identity, Input, Message, Node, Options, Output};
 use tgw_owner::{Directory, Member, State};
@@ -41,19 +41,47 @@
 #[derive(Debug)]
 pub(crate) enum Event {
     Arrive(Service),
-    Letter { to: usize, life: u32, from: usize, message: Message },
-    Lost { at: usize, vm: usize },
-    AtUpstream { upstream: usize, job: Box<Job> },
-    Finish { upstream: usize, run: u64 },
-    Stop { upstream: usize, vm: usize, ticket: u64 },
-    Done { vm: usize, life: u32, ticket: u64, result: Result<Reply, Failure>, held: Option<Held> },
+    Letter {
+        to: usize,
+        life: u32,
+        from: usize,
+        message: Message,
+    },
+    Lost {
+        at: usize,
+        vm: usize,
+    },
+    AtUpstream {
+        upstream: usize,
+        job: Box<Job>,
+    },
+    Finish {
+        upstream: usize,
+        run: u64,
+    },
+    Stop {
+        upstream: usize,
+        vm: usize,
+        ticket: u64,
+    },
+    Done {
+        vm: usize,
+        life: u32,
+        ticket: u64,
+        result: Result<Reply, Failure>,
+        held: Option<HeldSnapshots>,
+    },
     Tick(usize, u32),
     Fault(usize),
     Turn,
     Directory,
     Resume(usize),
     Rejoin,
-    Roll { step: usize, new: Snapshot, gap: Millis },
+    Roll {
+        step: usize,
+        new: Snapshot,
+        gap: Millis,
+    },
     Mend,
     Restart(usize),
 }
--- a/crates/tgw-bench/src/slopes.rs
+++ b/crates/tgw-bench/src/slopes.rs
@@ -10,7 +10,7 @@
     time::Instant,
 };
 use tgw_clock::Millis;
-use tgw_dispatch::leaf::{Key, Outcome, Work};
+use tgw_dispatch::leaf::{Key, Operation, Outcome};
 use tgw_node::{
     Message,
     message::{Ask, Told},
@@ -160,7 +160,7 @@
         patience: None,
         body: vec![b'x'; 100].into(),
         traced: false,
-        work: Work::Search,
+        work: Operation::Search,
     });
     let mut told = Told::bare(key, Outcome::Items(vec![b'x'; 300].into()));
     told.stock = Some([(Snapshot { version: 1000, layout: Layout(3) }, 3)].into_iter().collect());
--- a/crates/tgw-dispatch/src/group.rs
+++ b/crates/tgw-dispatch/src/group.rs
@@ -1,8 +1,8 @@
 use crate::{
     health::{Health, InFlight, Rank},
-    leaf::{Failure, Held, Key, Leaf, Outcome, Reply},
-    owner::{Action, Note, Options, SkipReason, Ticket, What},
-    pick::Policy,
+    leaf::{Failure, HeldSnapshots, Key, Leaf, Outcome, Reply},
+    owner::{Action, Decision, DecisionKind, Options, SendId, SkipReason},
+    policy::Policy,
 };
 use smallvec::SmallVec;
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,7 +17,7 @@
 
 /// State that the groups of one service share at their owner.
 pub(crate) struct ServiceContext<'a> {
-    pub(crate) next_ticket: &'a mut Ticket,
+    pub(crate) next_send_id: &'a mut SendId,
     /// The hedge delay is learned over all groups of the service: a straggler makes many requests
     /// of its own group late, and a delay learned there alone would rise until none counted as
     /// late.
@@ -25,9 +25,9 @@
 }
 
 impl ServiceContext<'_> {
-    fn allocate_ticket(&mut self) -> Ticket {
-        *self.next_ticket += 1;
-        *self.next_ticket
+    fn allocate_send_id(&mut self) -> SendId {
+        *self.next_send_id += 1;
+        *self.next_send_id
     }
 }
 
@@ -40,7 +40,7 @@
     /// Indices of the upstreams that may serve it; those that failed it are removed.
     pub(crate) eligible: SmallVec<[usize; 4]>,
     /// Sends in flight, each with the index of its upstream.
-    pub(crate) in_flight: SmallVec<[(Ticket, usize); 2]>,
+    pub(crate) in_flight: SmallVec<[(SendId, usize); 2]>,
     pub(crate) sends: u8,
     pub(crate) hedged: bool,
     /// The outcome of the last failed send, reported when no upstream is left to try.
@@ -74,7 +74,7 @@
             keys: BTreeMap::new(),
             queue: BTreeSet::new(),
             next_task_id: 1,
-            retry_budget: Budget::new(options.retry, RETRY_BURST_REQUESTS),
+            retry_budget: Budget::new(options.retry_budget, RETRY_BURST_REQUESTS),
             slot_share: 1.0,
             handed_over: false,
         }
@@ -82,7 +82,7 @@
 
     pub(crate) fn update(&mut self, nodes: &[&Node], options: &Options) {
         self.handed_over = false;
-        self.retry_budget.set_share(options.retry);
+        self.retry_budget.set_share(options.retry_budget);
         self.options = options.clone();
         for node in nodes.iter().filter(|n| n.group() == self.id) {
             match self.upstreams.iter_mut().find(|u| u.id == node.id) {
@@ -92,7 +92,7 @@
                         known.mark_leaving();
                     }
                 }
-                None => self.upstreams.push(Health::new(node, options.ramp)),
+                None => self.upstreams.push(Health::new(node, options.slow_start)),
             }
         }
     }
@@ -131,7 +131,7 @@
         &self,
         now: Millis,
         upstream: Upstream,
-    ) -> Option<(Rank, Option<&Held>, f64)> {
+    ) -> Option<(Rank, Option<&HeldSnapshots>, f64)> {
         let health = self.upstreams.iter().find(|u| u.id == upstream)?;
         Some((health.rank(now), health.snapshots(), health.latency_ms.get()))
     }
@@ -140,9 +140,9 @@
         self.upstreams.iter().any(|u| !u.is_leaving() && u.holds(snapshot))
     }
 
-    pub(crate) fn set_snapshots(&mut self, upstream: Upstream, held: Held) {
+    pub(crate) fn set_snapshots(&mut self, upstream: Upstream, snapshots: HeldSnapshots) {
         if let Some(health) = self.upstreams.iter_mut().find(|u| u.id == upstream) {
-            health.set_snapshots(held);
+            health.set_snapshots(snapshots);
         }
     }
 
@@ -155,7 +155,7 @@
     pub(crate) fn mark_leaving(&mut self, now: Millis, upstream: Upstream, out: &mut Vec<Action>) {
         let Some(health) = self.upstreams.iter_mut().find(|u| u.id == upstream) else { return };
         if health.mark_leaving() {
-            log_decision(None, upstream, What::Leaving, SmallVec::new(), out);
+            log_decision(None, upstream, DecisionKind::Leaving, SmallVec::new(), out);
         }
         self.fail_unservable(now, out);
     }
@@ -205,27 +205,27 @@
     pub(crate) fn finish_send(
         &mut self,
         now: Millis,
-        ticket: Ticket,
+        send_id: SendId,
         result: Result<Reply, Failure>,
-        held: Option<Held>,
+        snapshots: Option<HeldSnapshots>,
         service: &mut ServiceContext<'_>,
         out: &mut Vec<Action>,
     ) {
-        let Some((index, send)) = self.take_in_flight(ticket) else { return };
-        if let Some(held) = held {
-            self.upstreams[index].set_snapshots(held);
+        let Some((index, send)) = self.take_in_flight(send_id) else { return };
+        if let Some(snapshots) = snapshots {
+            self.upstreams[index].set_snapshots(snapshots);
         }
         let requested = self.tasks.get(&send.task).map(|t| (t.leaf.snapshot, t.leaf.key));
         self.update_health(now, service.hedge.delay(), (index, &send), &result, requested, out);
-        if !send.aborted {
+        if !send.cancelled {
             self.apply_result(now, index, &send, result, out);
         }
         self.fill_slots(now, service, out);
     }
 
-    fn take_in_flight(&mut self, ticket: Ticket) -> Option<(usize, InFlight)> {
+    fn take_in_flight(&mut self, send_id: SendId) -> Option<(usize, InFlight)> {
         self.upstreams.iter_mut().enumerate().find_map(|(index, upstream)| {
-            let at = upstream.in_flight.iter().position(|r| r.ticket == ticket)?;
+            let at = upstream.in_flight.iter().position(|r| r.send_id == send_id)?;
             Some((index, upstream.in_flight.remove(at)))
         })
     }
@@ -246,7 +246,7 @@
             // The time to a cancellation is no measure of latency: rank and latency stay as they
             // are.
             Ok(Reply::Cancelled) => {}
-            Ok(Reply::Items { .. }) if !send.aborted => upstream.record_success(age, late_after),
+            Ok(Reply::Items { .. }) if !send.cancelled => upstream.record_success(age, late_after),
             Ok(Reply::Items { .. } | Reply::Ran(_) | Reply::Expired) => {}
             Ok(Reply::Gone) => {
                 if let Some((snapshot, _)) = requested {
@@ -257,7 +257,7 @@
             Ok(Reply::Draining) => {
                 if upstream.mark_leaving() {
                     let id = upstream.id;
-                    log_decision(None, id, What::Leaving, SmallVec::new(), out);
+                    log_decision(None, id, DecisionKind::Leaving, SmallVec::new(), out);
                 }
             }
             Err(_) => {
@@ -265,7 +265,7 @@
                     log_decision(
                         requested.map(|r| r.1),
                         upstream.id,
-                        What::Eject,
+                        DecisionKind::Eject,
                         SmallVec::new(),
                         out,
                     );
@@ -284,7 +284,7 @@
         out: &mut Vec<Action>,
     ) {
         let Some(task) = self.tasks.get_mut(&send.task) else { return };
-        task.in_flight.retain(|(ticket, _)| *ticket != send.ticket);
+        task.in_flight.retain(|(send_id, _)| *send_id != send.send_id);
         let outcome = match result {
             // A reply for another snapshot or shard than requested would put foreign items into the
             // answer, so the attempt fails. It is not treated as a missing snapshot, as that would
@@ -302,7 +302,7 @@
             }
             // An order that was sent may have been run, whatever failed afterwards. It is sent
             // again only if no connection was made or the upstream replied that it did not run it.
-            Err(failure) if task.leaf.once() && failure != Failure::Connect => {
+            Err(failure) if task.leaf.is_order() && failure != Failure::Connect => {
                 self.answer(now, send.task, Outcome::Failed(failure), out);
                 return;
             }
@@ -321,7 +321,7 @@
 
     pub(crate) fn retry_or_give_up(&mut self, now: Millis, task_id: u64, out: &mut Vec<Action>) {
         let Some(task) = self.tasks.get_mut(&task_id) else { return };
-        let may_send = task.sends < self.options.attempts && !task.eligible.is_empty();
+        let may_send = task.sends < self.options.max_attempts && !task.eligible.is_empty();
         // A request that was shed, or whose snapshot was missing, cost the upstream nothing, so
         // only retries of work that may have been done are charged to the budget.
         let is_free = matches!(task.last_failure, Some(Outcome::Shed | Outcome::Gone));
@@ -350,10 +350,10 @@
         out.push(Action::Answer {
             key: task.leaf.key,
             outcome,
-            stock: self.snapshot_counts(),
-            extra: task.sends.saturating_sub(1),
-            waited: task.queue_wait.unwrap_or_default(),
-            pressure: self.load_ratio(now),
+            snapshot_counts: self.snapshot_counts(),
+            extra_sends: task.sends.saturating_sub(1),
+            queue_wait: task.queue_wait.unwrap_or_default(),
+            load_ratio: self.load_ratio(now),
         });
     }
 
@@ -362,12 +362,12 @@
         let task = self.tasks.remove(&task_id)?;
         self.keys.remove(&task.leaf.key);
         self.queue.remove(&(task.leaf.deadline, task_id));
-        for (ticket, index) in &task.in_flight {
+        for (send_id, index) in &task.in_flight {
             let upstream = &mut self.upstreams[*index];
-            if let Some(send) = upstream.in_flight.iter_mut().find(|r| r.ticket == *ticket) {
-                send.aborted = true;
-                if !task.leaf.once() {
-                    out.push(Action::Abort { ticket: *ticket, upstream: upstream.id });
+            if let Some(send) = upstream.in_flight.iter_mut().find(|r| r.send_id == *send_id) {
+                send.cancelled = true;
+                if !task.leaf.is_order() {
+                    out.push(Action::Cancel { send_id: *send_id, upstream: upstream.id });
                 }
             }
         }
@@ -425,9 +425,9 @@
             let usable = self.usable(task);
             let candidates = self.candidates(now, &usable);
             let Some(chosen) = self.policy.choose(now, &candidates) else { continue };
-            let kind = if task.sends == 0 { What::Send } else { What::Retry };
+            let kind = if task.sends == 0 { DecisionKind::Send } else { DecisionKind::Retry };
             self.queue.remove(&at);
-            if kind == What::Send {
+            if kind == DecisionKind::Send {
                 service.hedge.request();
                 self.retry_budget.earn();
             }
@@ -440,30 +440,30 @@
         now: Millis,
         task_id: u64,
         index: usize,
-        kind: What,
+        kind: DecisionKind,
         service: &mut ServiceContext<'_>,
         out: &mut Vec<Action>,
     ) {
         let traced = self.tasks.get(&task_id).is_some_and(|t| t.leaf.traced);
         let skipped = if traced { self.skipped(now, task_id, index) } else { SmallVec::new() };
         let Some(task) = self.tasks.get_mut(&task_id) else { return };
-        let ticket = service.allocate_ticket();
+        let send_id = service.allocate_send_id();
         task.sends += 1;
-        task.hedged |= kind == What::Hedge;
+        task.hedged |= kind == DecisionKind::Hedge;
         task.queue_wait.get_or_insert(now - task.arrived);
-        task.in_flight.push((ticket, index));
+        task.in_flight.push((send_id, index));
         let upstream = &mut self.upstreams[index];
         upstream.in_flight.push(InFlight {
-            ticket,
+            send_id,
             task: task_id,
             sent_at: now,
             counted_late: false,
-            aborted: false,
+            cancelled: false,
         });
         if traced {
             log_decision(Some(task.leaf.key), upstream.id, kind, skipped, out);
         }
-        out.push(Action::Send { ticket, upstream: upstream.id, leaf: task.leaf.clone() });
+        out.push(Action::Send { send_id, upstream: upstream.id, leaf: task.leaf.clone() });
     }
 
     fn fail_unservable(&mut self, now: Millis, out: &mut Vec<Action>) {
@@ -488,7 +488,7 @@
             task.eligible.iter().filter(is_staying).copied().collect();
         if staying.is_empty() {
             self.answer_last_failure(now, task_id, out);
-        } else if !task.leaf.once()
+        } else if !task.leaf.is_order()
             && !staying.iter().any(|i| self.upstreams[*i].holds(task.leaf.snapshot))
         {
             task.last_failure = Some(Outcome::Gone);
@@ -500,9 +500,9 @@
 pub(crate) fn log_decision(
     key: Option<Key>,
     upstream: Upstream,
-    kind: What,
+    kind: DecisionKind,
     skipped: SmallVec<[(Upstream, SkipReason); 4]>,
     out: &mut Vec<Action>,
 ) {
-    out.push(Action::Note(Note { key, upstream, what: kind, passed: skipped }));
+    out.push(Action::LogDecision(Decision { key, upstream, kind, skipped }));
 }
--- a/crates/tgw-dispatch/src/health.rs
+++ b/crates/tgw-dispatch/src/health.rs
@@ -1,4 +1,4 @@
-use crate::leaf::Held;
+use crate::leaf::HeldSnapshots;
 use smallvec::SmallVec;
 use tgw_clock::Millis;
 use tgw_tail::Average;
@@ -32,13 +32,13 @@
 /// One send in flight on an upstream.
 #[derive(Clone, Debug)]
 pub(crate) struct InFlight {
-    pub(crate) ticket: u64,
+    pub(crate) send_id: u64,
     pub(crate) task: u64,
     pub(crate) sent_at: Millis,
     /// Whether it has been counted as late.
     pub(crate) counted_late: bool,
     /// Whether it was cancelled; it occupies its slot until the upstream confirms.
-    pub(crate) aborted: bool,
+    pub(crate) cancelled: bool,
 }
 
 /// Health, latency and in-flight requests of one upstream.
@@ -48,7 +48,7 @@
     pub(crate) slots: u16,
     pub(crate) in_flight: SmallVec<[InFlight; 4]>,
     pub(crate) latency_ms: Average,
-    snapshots: Option<Held>,
+    snapshots: Option<HeldSnapshots>,
     concurrency_limit: f64,
     consecutive_failures: u32,
     ejection_backoff: Millis,
@@ -113,11 +113,11 @@
         self.snapshots.as_ref().is_none_or(|snapshots| snapshots.contains(&snapshot))
     }
 
-    pub(crate) fn snapshots(&self) -> Option<&Held> {
+    pub(crate) fn snapshots(&self) -> Option<&HeldSnapshots> {
         self.snapshots.as_ref()
     }
 
-    pub(crate) fn set_snapshots(&mut self, snapshots: Held) {
+    pub(crate) fn set_snapshots(&mut self, snapshots: HeldSnapshots) {
         self.snapshots = Some(snapshots);
     }
 
--- a/crates/tgw-dispatch/src/leaf.rs
+++ b/crates/tgw-dispatch/src/leaf.rs
@@ -8,10 +8,10 @@
 use tgw_topology::{Query, Shard, Snapshot, Vm};
 
 /// The snapshots that an upstream holds.
-pub type Held = SmallVec<[Snapshot; 4]>;
+pub type HeldSnapshots = SmallVec<[Snapshot; 4]>;
 
 /// The snapshots that a group holds, each with the number of usable upstreams that hold it.
-pub type Stock = SmallVec<[(Snapshot, u8); 4]>;
+pub type SnapshotCounts = SmallVec<[(Snapshot, u8); 4]>;
 
 /// Identifies one attempt at one shard of one query, unique over all VMs and restarts.
 #[derive(
@@ -41,18 +41,18 @@
     pub deadline: Millis,
     /// When it is returned to the entry VM if it is still queued, because another group is expected
     /// to answer earlier.
-    pub give_back: Option<Millis>,
+    pub queue_deadline: Option<Millis>,
     /// The search or order itself, opaque to the tier.
     pub body: Bytes,
     /// Whether dispatch decisions about it are logged.
     pub traced: bool,
     /// The operation that the upstream performs.
-    pub work: Work,
+    pub operation: Operation,
 }
 
 /// The operation that an upstream performs for a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Work {
+pub enum Operation {
     /// Searches a shard.
     Search,
     /// Runs the order of this name, at most once.
@@ -61,8 +61,8 @@
 
 impl Leaf {
     /// Whether it is an order, which is not sent again once an upstream may have run it.
-    pub fn once(&self) -> bool {
-        matches!(self.work, Work::Order(_))
+    pub fn is_order(&self) -> bool {
+        matches!(self.operation, Operation::Order(_))
     }
 }
 
--- a/crates/tgw-dispatch/src/lib.rs
+++ b/crates/tgw-dispatch/src/lib.rs
@@ -14,7 +14,7 @@
 /// All replica groups that a VM owns.
 pub mod owner;
 /// Policies that choose an upstream for a leaf request.
-pub mod pick;
+pub mod policy;
 /// Time-driven work of a group: deadlines, late requests, hedges.
 mod timeouts;
 /// State of a group as read by the policy, the entry VM and the log.
--- a/crates/tgw-dispatch/src/owner.rs
+++ b/crates/tgw-dispatch/src/owner.rs
@@ -2,8 +2,8 @@
 
 use crate::{
     group::{Group, ServiceContext},
-    leaf::{Failure, Held, Key, Leaf, Outcome, Reply, Stock},
-    pick::Policy,
+    leaf::{Failure, HeldSnapshots, Key, Leaf, Outcome, Reply, SnapshotCounts},
+    policy::Policy,
 };
 use std::collections::BTreeMap;
 use tgw_clock::Millis;
@@ -11,13 +11,13 @@
 use tgw_topology::{Group as GroupId, Service, Snapshot, Upstream, catalog::Node};
 
 /// Identifies one send of a request to an upstream.
-pub type Ticket = u64;
+pub type SendId = u64;
 
 /// Input of the owner.
 #[derive(Debug)]
 pub enum Event {
     /// A request for a shard of `group`; `replicas` hold the shard.
-    Ask {
+    Request {
         /// The replica group.
         group: GroupId,
         /// The replicas of the shard, in this and other groups.
@@ -28,20 +28,20 @@
     /// The entry VM no longer wants the outcome.
     Cancel(Key),
     /// A send has ended.
-    Done {
+    SendEnded {
         /// The send.
-        ticket: Ticket,
+        send_id: SendId,
         /// The reply, or the reason why there is none.
         result: Result<Reply, Failure>,
         /// The snapshots that the upstream reports to hold.
-        held: Option<Held>,
+        snapshots: Option<HeldSnapshots>,
     },
     /// An upstream is leaving, as reported by any source.
     Leaving(Upstream),
     /// An upstream replied with another incarnation than before: its process was restarted.
     Restarted(Upstream),
     /// The snapshots that an upstream reports to hold.
-    Held(Upstream, Held),
+    SnapshotsReported(Upstream, HeldSnapshots),
     /// Periodic tick for deadlines, hedges and probes.
     Tick,
 }
@@ -51,17 +51,17 @@
 pub enum Action {
     /// Send a request to an upstream.
     Send {
-        /// Identifies the send in [`Event::Done`].
-        ticket: Ticket,
+        /// Identifies the send in [`Event::SendEnded`].
+        send_id: SendId,
         /// The upstream.
         upstream: Upstream,
         /// The request.
         leaf: Leaf,
     },
-    /// Cancel a request on an upstream; [`Event::Done`] still follows.
-    Abort {
+    /// Cancel a request on an upstream; [`Event::SendEnded`] still follows.
+    Cancel {
         /// The send.
-        ticket: Ticket,
+        send_id: SendId,
         /// The upstream.
         upstream: Upstream,
     },
@@ -72,29 +72,29 @@
         /// The outcome.
         outcome: Outcome,
         /// The snapshots that the group's upstreams hold, if known.
-        stock: Option<Stock>,
+        snapshot_counts: Option<SnapshotCounts>,
         /// Sends beyond the first.
-        extra: u8,
+        extra_sends: u8,
         /// Time in the queue before the first send.
-        waited: Millis,
+        queue_wait: Millis,
         /// Queued and in-flight requests of the group as a ratio of its slots.
-        pressure: f32,
+        load_ratio: f32,
     },
     /// Log a decision.
-    Note(Note),
+    LogDecision(Decision),
 }
 
 /// A dispatch decision for the log.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Note {
+pub struct Decision {
     /// The request, if the decision is about one.
     pub key: Option<Key>,
     /// The upstream.
     pub upstream: Upstream,
     /// The kind of decision.
-    pub what: What,
+    pub kind: DecisionKind,
     /// Upstreams that were not chosen, with the reason.
-    pub passed: smallvec::SmallVec<[(Upstream, SkipReason); 4]>,
+    pub skipped: smallvec::SmallVec<[(Upstream, SkipReason); 4]>,
 }
 
 /// Why an upstream was not chosen for a request.
@@ -125,7 +125,7 @@
 
 /// The kind of a dispatch decision.
 #[derive(Copy, Clone, Debug, derive_more::Display, PartialEq)]
-pub enum What {
+pub enum DecisionKind {
     /// Sent for the first time.
     #[display("send")]
     Send,
@@ -150,22 +150,29 @@
 #[derive(Clone, Debug)]
 pub struct Options {
     /// Budget of hedges, as a ratio of all requests.
-    pub hedge: f64,
+    pub hedge_budget: f64,
     /// Budget of retries, as a ratio of all requests.
-    pub retry: f64,
+    pub retry_budget: f64,
     /// Most sends of one request.
-    pub attempts: u8,
+    pub max_attempts: u8,
     /// Suspect an upstream once its oldest request is overdue.
-    pub suspect: bool,
+    pub suspect_overdue: bool,
     /// Start new upstreams with a concurrency limit of one and raise it with each successful reply.
-    pub ramp: bool,
+    pub slow_start: bool,
     /// Hedge late requests before queued requests are sent.
     pub hedge_first: bool,
 }
 
 impl Default for Options {
     fn default() -> Self {
-        Self { hedge: 0.03, retry: 0.1, attempts: 3, suspect: true, ramp: false, hedge_first: true }
+        Self {
+            hedge_budget: 0.03,
+            retry_budget: 0.1,
+            max_attempts: 3,
+            suspect_overdue: true,
+            slow_start: false,
+            hedge_first: true,
+        }
     }
 }
 
@@ -173,11 +180,11 @@
 pub struct Owner {
     groups: BTreeMap<GroupId, Group>,
     /// The group of each send, looked up when the send ends.
-    tickets: BTreeMap<Ticket, GroupId>,
+    sends: BTreeMap<SendId, GroupId>,
     /// The group of each request, looked up on cancellation.
     keys: BTreeMap<Key, GroupId>,
     upstreams: BTreeMap<Upstream, GroupId>,
-    next_ticket: Ticket,
+    next_send_id: SendId,
     hedges: BTreeMap<Service, Hedge>,
     new_policy: Box<dyn Fn(GroupId) -> Box<dyn Policy> + Send>,
 }
@@ -187,29 +194,29 @@
     pub fn new(new_policy: Box<dyn Fn(GroupId) -> Box<dyn Policy> + Send>) -> Self {
         Self {
             groups: BTreeMap::new(),
-            tickets: BTreeMap::new(),
+            sends: BTreeMap::new(),
             keys: BTreeMap::new(),
             upstreams: BTreeMap::new(),
-            next_ticket: 0,
+            next_send_id: 0,
             hedges: BTreeMap::new(),
             new_policy,
         }
     }
 
     /// Starts to dispatch to `nodes` of a group, or updates their description and the options.
-    pub fn take(&mut self, id: GroupId, nodes: &[&Node], options: &Options) {
+    pub fn serve_group(&mut self, id: GroupId, nodes: &[&Node], options: &Options) {
         let new_policy = &self.new_policy;
         let group =
             self.groups.entry(id).or_insert_with(|| Group::new(id, options, new_policy(id)));
         group.update(nodes, options);
-        let new_hedge = || Hedge::new(options.hedge);
-        self.hedges.entry(id.service).or_insert_with(new_hedge).set_share(options.hedge);
+        let new_hedge = || Hedge::new(options.hedge_budget);
+        self.hedges.entry(id.service).or_insert_with(new_hedge).set_share(options.hedge_budget);
         self.upstreams.extend(nodes.iter().map(|n| (n.id, id)));
     }
 
     /// Sets the fraction of a group's slots that may be used, less than 1 while two VMs may both
     /// own it.
-    pub fn share(&mut self, id: GroupId, share: f64) {
+    pub fn set_slot_share(&mut self, id: GroupId, share: f64) {
         if let Some(group) = self.groups.get_mut(&id) {
             group.set_share(share);
         }
@@ -222,21 +229,21 @@
             for key in group.take_queued() {
                 self.keys.remove(&key);
                 let outcome = Outcome::Moved(to);
-                let waited = Millis::ZERO;
+                let queue_wait = Millis::ZERO;
                 out.push(Action::Answer {
                     key,
                     outcome,
-                    stock: None,
-                    extra: 0,
-                    waited,
-                    pressure: 0.0,
+                    snapshot_counts: None,
+                    extra_sends: 0,
+                    queue_wait,
+                    load_ratio: 0.0,
                 });
             }
         }
     }
 
     /// Removes a group that was handed over, once it has no requests left; true if it is removed.
-    pub fn forget(&mut self, id: GroupId) -> bool {
+    pub fn remove_idle_group(&mut self, id: GroupId) -> bool {
         let is_idle = self.groups.get(&id).is_none_or(Group::is_idle);
         if is_idle {
             self.groups.remove(&id);
@@ -256,16 +263,16 @@
     }
 
     /// Requests in flight on an upstream.
-    pub fn running(&self, upstream: Upstream) -> usize {
+    pub fn in_flight(&self, upstream: Upstream) -> usize {
         self.group_of(upstream).map_or(0, |g| g.in_flight(upstream))
     }
 
     /// Estimate of an upstream: rank, snapshots, recent latency in milliseconds.
-    pub fn belief(
+    pub fn estimate(
         &self,
         now: Millis,
         upstream: Upstream,
-    ) -> Option<(crate::Rank, Option<&Held>, f64)> {
+    ) -> Option<(crate::Rank, Option<&HeldSnapshots>, f64)> {
         self.group_of(upstream)?.estimate(now, upstream)
     }
 
@@ -280,19 +287,21 @@
     }
 
     /// Handles one event at `now` and appends the resulting actions.
-    pub fn on(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
         let first_new = out.len();
         match event {
-            Event::Ask { group, replicas, leaf } => self.enqueue(now, group, &replicas, leaf, out),
+            Event::Request { group, replicas, leaf } => {
+                self.enqueue(now, group, &replicas, leaf, out);
+            }
             Event::Cancel(key) => {
                 if let Some(group) = self.keys.remove(&key).and_then(|g| self.groups.get_mut(&g)) {
                     group.cancel(key, out);
                 }
             }
-            Event::Done { ticket, result, held } => {
-                let id = self.tickets.remove(&ticket);
+            Event::SendEnded { send_id, result, snapshots } => {
+                let id = self.sends.remove(&send_id);
                 if let Some((group, mut service)) = id.and_then(|g| self.with_service(g)) {
-                    group.finish_send(now, ticket, result, held, &mut service, out);
+                    group.finish_send(now, send_id, result, snapshots, &mut service, out);
                 }
             }
             Event::Leaving(upstream) => {
@@ -305,16 +314,16 @@
                     group.mark_restarted(upstream);
                 }
             }
-            Event::Held(upstream, held) => {
+            Event::SnapshotsReported(upstream, snapshots) => {
                 if let Some(group) = self.group_mut(upstream) {
-                    group.set_snapshots(upstream, held);
+                    group.set_snapshots(upstream, snapshots);
                 }
             }
             Event::Tick => {
-                let (next_ticket, hedges) = (&mut self.next_ticket, &mut self.hedges);
+                let (next_send_id, hedges) = (&mut self.next_send_id, &mut self.hedges);
                 for (id, group) in &mut self.groups {
                     if let Some(hedge) = hedges.get_mut(&id.service) {
-                        group.tick(now, &mut ServiceContext { next_ticket, hedge }, out);
+                        group.tick(now, &mut ServiceContext { next_send_id, hedge }, out);
                     }
                 }
             }
@@ -326,7 +335,7 @@
     fn with_service(&mut self, id: GroupId) -> Option<(&mut Group, ServiceContext<'_>)> {
         let group = self.groups.get_mut(&id)?;
         let hedge = self.hedges.get_mut(&id.service)?;
-        Some((group, ServiceContext { next_ticket: &mut self.next_ticket, hedge }))
+        Some((group, ServiceContext { next_send_id: &mut self.next_send_id, hedge }))
     }
 
     fn group_mut(&mut self, upstream: Upstream) -> Option<&mut Group> {
@@ -351,10 +360,10 @@
             None => out.push(Action::Answer {
                 key,
                 outcome: Outcome::Moved(None),
-                stock: None,
-                extra: 0,
-                waited: Millis::ZERO,
-                pressure: 0.0,
+                snapshot_counts: None,
+                extra_sends: 0,
+                queue_wait: Millis::ZERO,
+                load_ratio: 0.0,
             }),
         }
     }
@@ -363,15 +372,15 @@
     fn update_lookups(&mut self, actions: &[Action]) {
         for action in actions {
             match action {
-                Action::Send { ticket, upstream, .. } => {
+                Action::Send { send_id, upstream, .. } => {
                     if let Some(group) = self.upstreams.get(upstream) {
-                        self.tickets.insert(*ticket, *group);
+                        self.sends.insert(*send_id, *group);
                     }
                 }
                 Action::Answer { key, .. } => {
                     self.keys.remove(key);
                 }
-                Action::Abort { .. } | Action::Note(_) => {}
+                Action::Cancel { .. } | Action::LogDecision(_) => {}
             }
         }
     }
--- a/crates/tgw-dispatch/src/pick.rs
+++ b/crates/tgw-dispatch/src/policy.rs
@@ -33,9 +33,9 @@
 /// Late binding: waits for a free slot, then takes the upstream with the best rank, the fewest
 /// requests in flight and the lowest latency, in this order.
 #[derive(Debug, Default)]
-pub struct Late;
+pub struct LateBinding;
 
-impl Policy for Late {
+impl Policy for LateBinding {
     fn bind(&mut self, _now: Millis, _candidates: &[Candidate]) -> Option<usize> {
         None
     }
@@ -48,9 +48,9 @@
 /// Early binding to the best ranked upstream with the least product of requests in flight and
 /// latency.
 #[derive(Debug, Default)]
-pub struct Least;
+pub struct LeastLoad;
 
-impl Policy for Least {
+impl Policy for LeastLoad {
     fn bind(&mut self, _now: Millis, candidates: &[Candidate]) -> Option<usize> {
         let cost = |c: &Candidate| (c.in_flight + 1) as f64 * c.latency_ms.max(0.1);
         let best = candidates
--- a/crates/tgw-dispatch/src/timeouts.rs
+++ b/crates/tgw-dispatch/src/timeouts.rs
@@ -2,7 +2,7 @@
     group::{Group, ServiceContext, Task, log_decision},
     health::Rank,
     leaf::{Failure, Outcome},
-    owner::{Action, What},
+    owner::{Action, DecisionKind},
 };
 use smallvec::SmallVec;
 use tgw_clock::Millis;
@@ -15,7 +15,7 @@
         let expired: SmallVec<[u64; 8]> =
             self.tasks.iter().filter(|(_, t)| t.leaf.deadline <= now).map(|(n, _)| *n).collect();
         for task_id in expired {
-            let may_have_run = |t: &Task| t.leaf.once() && !t.in_flight.is_empty();
+            let may_have_run = |t: &Task| t.leaf.is_order() && !t.in_flight.is_empty();
             let order_may_have_run = self.tasks.get(&task_id).is_some_and(may_have_run);
             let outcome = if order_may_have_run {
                 Outcome::Failed(Failure::Closed)
@@ -27,7 +27,7 @@
         // If the group consists of a single straggler, the owner has no other upstream for the
         // queued requests. The entry VM can send them to another group: as they were never sent to
         // an upstream, that adds no load.
-        let due = |task: &&Task| task.leaf.give_back.is_some_and(|at| at <= now);
+        let due = |task: &&Task| task.leaf.queue_deadline.is_some_and(|at| at <= now);
         let is_due = |(_, task_id): &(Millis, u64)| self.tasks.get(task_id).filter(due).is_some();
         let returned: SmallVec<[u64; 8]> =
             self.queue.iter().filter(|q| is_due(q)).map(|q| q.1).collect();
@@ -59,13 +59,13 @@
             if newly_late {
                 upstream.record_late(now);
             }
-            if !self.options.suspect {
+            if !self.options.suspect_overdue {
                 continue;
             }
             let oldest = upstream.in_flight.iter().map(|r| now - r.sent_at).max();
             let Some(age) = oldest.filter(|age| *age >= overdue_after) else { continue };
             if upstream.record_overdue(now, age) {
-                log_decision(None, upstream.id, What::Suspect, SmallVec::new(), out);
+                log_decision(None, upstream.id, DecisionKind::Suspect, SmallVec::new(), out);
             }
         }
     }
@@ -81,9 +81,9 @@
         let mut due: SmallVec<[(Millis, u64); 8]> = SmallVec::new();
         for send in self.upstreams.iter().flat_map(|u| &u.in_flight) {
             let may_hedge =
-                |t: &Task| !t.hedged && t.sends < self.options.attempts && !t.leaf.once();
+                |t: &Task| !t.hedged && t.sends < self.options.max_attempts && !t.leaf.is_order();
             if send.counted_late
-                && !send.aborted
+                && !send.cancelled
                 && self.tasks.get(&send.task).is_some_and(may_hedge)
             {
                 due.push((send.sent_at, send.task));
@@ -102,7 +102,7 @@
             if !service.hedge.fire() {
                 return;
             }
-            self.send(now, task_id, usable[chosen], What::Hedge, service, out);
+            self.send(now, task_id, usable[chosen], DecisionKind::Hedge, service, out);
         }
     }
 }
--- a/crates/tgw-dispatch/src/view.rs
+++ b/crates/tgw-dispatch/src/view.rs
@@ -1,9 +1,9 @@
 use crate::{
     group::{Group, Task},
     health::{Health, Rank},
-    leaf::Stock,
+    leaf::SnapshotCounts,
     owner::SkipReason,
-    pick::Candidate,
+    policy::Candidate,
 };
 use smallvec::SmallVec;
 use tgw_clock::Millis;
@@ -21,7 +21,7 @@
     pub(crate) fn should_return_now(&self, now: Millis, task_id: u64) -> bool {
         let Some(task) = self.tasks.get(&task_id) else { return false };
         let is_ejected = |i: &usize| self.upstreams[*i].rank(now) >= Rank::Ejected;
-        task.leaf.give_back.is_some() && task.eligible.iter().all(is_ejected)
+        task.leaf.queue_deadline.is_some() && task.eligible.iter().all(is_ejected)
     }
 
     /// Whether more requests are queued than the trusted upstreams can soon serve.
@@ -44,9 +44,9 @@
     /// The snapshots held by usable upstreams, with counts; `None` while no upstream has reported
     /// its snapshots. One that has not reported is counted as a holder of each snapshot of the
     /// others.
-    pub(crate) fn snapshot_counts(&self) -> Option<Stock> {
+    pub(crate) fn snapshot_counts(&self) -> Option<SnapshotCounts> {
         let usable = || self.upstreams.iter().filter(|u| !u.is_leaving());
-        let mut snapshot_counts = Stock::new();
+        let mut snapshot_counts = SnapshotCounts::new();
         for snapshot in usable().filter_map(Health::snapshots).flatten() {
             if !snapshot_counts.iter().any(|(s, _)| s == snapshot) {
                 let count = usable().filter(|u| u.holds(*snapshot)).count();
@@ -63,7 +63,7 @@
         let may_send = |i: &&usize| {
             let upstream = &self.upstreams[**i];
             !upstream.is_leaving()
-                && (task.leaf.once() || upstream.holds(task.leaf.snapshot))
+                && (task.leaf.is_order() || upstream.holds(task.leaf.snapshot))
                 && !task.in_flight.iter().any(|(_, in_flight_on)| in_flight_on == *i)
         };
         task.eligible.iter().filter(may_send).copied().collect()
--- a/crates/tgw-dispatch/tests/dispatch.rs
+++ b/crates/tgw-dispatch/tests/dispatch.rs
@@ -7,9 +7,9 @@
 use tgw_clock::Millis;
 use tgw_dispatch::{
     Action, Event, Leaf, Outcome, Owner, Rank,
-    leaf::{Failure, Held, Key, Reply, Work},
+    leaf::{Failure, HeldSnapshots, Key, Operation, Reply},
     owner::Options,
-    pick::Late,
+    policy::LateBinding,
 };
 use tgw_topology::{
     Group, Layout, Place, Query, Service, Shard, Snapshot, Upstream, Vm,
@@ -44,48 +44,48 @@
 
 impl Fixture {
     fn new() -> Self {
-        let mut owner = Owner::new(Box::new(|_| Box::new(Late)));
+        let mut owner = Owner::new(Box::new(|_| Box::new(LateBinding)));
         let nodes = [node(0), node(1), node(2)];
         let nodes: Vec<&Node> = nodes.iter().collect();
-        let options = Options { hedge: 0.5, ..Options::default() };
-        owner.take(GROUP, &nodes, &options);
+        let options = Options { hedge_budget: 0.5, ..Options::default() };
+        owner.serve_group(GROUP, &nodes, &options);
         Self { owner, now: Millis::new(1), last_query: 0, out: Vec::new() }
     }
 
-    fn on(&mut self, event: Event) {
-        self.owner.on(self.now, event, &mut self.out);
+    fn handle(&mut self, event: Event) {
+        self.owner.handle(self.now, event, &mut self.out);
     }
 
-    fn leaf(&mut self, work: Work, give_back: Option<Millis>) -> Leaf {
+    fn leaf(&mut self, operation: Operation, queue_deadline: Option<Millis>) -> Leaf {
         self.last_query += 1;
         let query = Query { incarnation: 1, number: self.last_query };
         Leaf {
             key: Key { from: Vm(1), query, shard: Shard(0), attempt: 0 },
             snapshot: SNAPSHOT,
             deadline: self.now + Millis::new(1000),
-            give_back,
+            queue_deadline,
             body: Bytes::new(),
             traced: false,
-            work,
+            operation,
         }
     }
 
-    fn submit(&mut self, work: Work) -> Key {
-        let leaf = self.leaf(work, None);
+    fn submit(&mut self, operation: Operation) -> Key {
+        let leaf = self.leaf(operation, None);
         let key = leaf.key;
         let replicas = (0..3).map(Upstream).collect();
-        self.on(Event::Ask { group: GROUP, replicas, leaf });
+        self.handle(Event::Request { group: GROUP, replicas, leaf });
         key
     }
 
     fn search(&mut self) -> Key {
-        self.submit(Work::Search)
+        self.submit(Operation::Search)
     }
 
-    /// The sends since the last call: ticket and upstream.
+    /// The sends since the last call: send id and upstream.
     fn take_sends(&mut self) -> Vec<(u64, Upstream)> {
         let sends = self.out.iter().filter_map(|a| match a {
-            Action::Send { ticket, upstream, .. } => Some((*ticket, *upstream)),
+            Action::Send { send_id, upstream, .. } => Some((*send_id, *upstream)),
             _ => None,
         });
         let sends = sends.collect();
@@ -103,13 +103,13 @@
         outcomes
     }
 
-    fn finish_send(&mut self, ticket: u64, result: Result<Reply, Failure>) {
-        self.on(Event::Done { ticket, result, held: None });
+    fn finish_send(&mut self, send_id: u64, result: Result<Reply, Failure>) {
+        self.handle(Event::SendEnded { send_id, result, snapshots: None });
     }
 
-    fn reply_items(&mut self, ticket: u64) {
+    fn reply_items(&mut self, send_id: u64) {
         let items = Bytes::from_static(b"[]");
-        self.finish_send(ticket, Ok(Reply::Items { snapshot: SNAPSHOT, shard: Shard(0), items }));
+        self.finish_send(send_id, Ok(Reply::Items { snapshot: SNAPSHOT, shard: Shard(0), items }));
     }
 
     /// Runs `count` searches of 4 ms, from which the owner learns its hedge delay.
@@ -117,8 +117,8 @@
         for _ in 0..count {
             self.search();
             self.now += Millis::new(4);
-            for (ticket, _) in self.take_sends() {
-                self.reply_items(ticket);
+            for (send_id, _) in self.take_sends() {
+                self.reply_items(send_id);
             }
         }
         self.take_outcomes();
@@ -127,12 +127,12 @@
     fn tick(&mut self, ms: u64) {
         for _ in 0..ms {
             self.now += Millis::new(1);
-            self.on(Event::Tick);
+            self.handle(Event::Tick);
         }
     }
 
     fn rank(&self, upstream: u32) -> Rank {
-        self.owner.belief(self.now, Upstream(upstream)).expect("served").0
+        self.owner.estimate(self.now, Upstream(upstream)).expect("served").0
     }
 }
 
@@ -144,7 +144,7 @@
     }
     assert_eq!(fixture.take_sends().len(), usize::from(3 * SLOTS));
     for upstream in 0..3 {
-        assert_eq!(fixture.owner.running(Upstream(upstream)), usize::from(SLOTS));
+        assert_eq!(fixture.owner.in_flight(Upstream(upstream)), usize::from(SLOTS));
     }
 }
 
@@ -157,8 +157,8 @@
         fixture.search();
     }
     let sends = fixture.take_sends();
-    let (ticket, free_replica) = sends[3];
-    fixture.reply_items(ticket);
+    let (send_id, free_replica) = sends[3];
+    fixture.reply_items(send_id);
     let next_sends = fixture.take_sends();
     assert_eq!(next_sends.len(), 1);
     assert_eq!(next_sends[0].1, free_replica);
@@ -177,7 +177,7 @@
     assert_ne!(hedge[0].1, first.1, "on another replica");
     fixture.reply_items(hedge[0].0);
     assert_eq!(fixture.take_outcomes().len(), 1);
-    let cancelled = |a: &Action| matches!(a, Action::Abort { ticket, .. } if *ticket == first.0);
+    let cancelled = |a: &Action| matches!(a, Action::Cancel { send_id, .. } if *send_id == first.0);
     assert!(fixture.out.iter().any(cancelled), "the slower send is cancelled");
     fixture.reply_items(first.0);
     assert!(fixture.take_outcomes().is_empty(), "the late reply of the cancelled send is ignored");
@@ -209,10 +209,10 @@
         fixture.search();
     }
     let mut sends = fixture.take_sends();
-    while let Some((ticket, upstream)) = sends.pop() {
+    while let Some((send_id, upstream)) = sends.pop() {
         match upstream.0 {
-            0 => fixture.reply_items(ticket),
-            _ => fixture.finish_send(ticket, Err(Failure::Closed)),
+            0 => fixture.reply_items(send_id),
+            _ => fixture.finish_send(send_id, Err(Failure::Closed)),
         }
         sends.extend(fixture.take_sends());
     }
@@ -230,13 +230,13 @@
 #[test]
 fn leaving_upstream_gets_no_requests_until_it_restarts() {
     let mut fixture = Fixture::new();
-    fixture.on(Event::Leaving(Upstream(1)));
-    fixture.on(Event::Held(Upstream(1), [SNAPSHOT].into_iter().collect()));
+    fixture.handle(Event::Leaving(Upstream(1)));
+    fixture.handle(Event::SnapshotsReported(Upstream(1), [SNAPSHOT].into_iter().collect()));
     for _ in 0..20 {
         fixture.search();
     }
     assert!(fixture.take_sends().iter().all(|(_, upstream)| upstream.0 != 1));
-    fixture.on(Event::Restarted(Upstream(1)));
+    fixture.handle(Event::Restarted(Upstream(1)));
     fixture.tick(1);
     assert!(
         fixture.take_sends().iter().any(|(_, upstream)| upstream.0 == 1),
@@ -254,9 +254,9 @@
         (SNAPSHOT, Shard(1)),
         (Snapshot { layout: Layout(2), ..SNAPSHOT }, Shard(0)),
     ] {
-        let (ticket, _) = fixture.take_sends()[0];
+        let (send_id, _) = fixture.take_sends()[0];
         let items = Bytes::from_static(b"[1]");
-        fixture.finish_send(ticket, Ok(Reply::Items { snapshot, shard, items }));
+        fixture.finish_send(send_id, Ok(Reply::Items { snapshot, shard, items }));
     }
     let failed = Outcome::Failed(Failure::Malformed);
     assert_eq!(
@@ -278,9 +278,9 @@
         (Ok(Reply::Draining), true),
     ] {
         let mut fixture = Fixture::new();
-        fixture.submit(Work::Order("o".into()));
-        let (ticket, _) = fixture.take_sends()[0];
-        fixture.finish_send(ticket, result.clone());
+        fixture.submit(Operation::Order("o".into()));
+        let (send_id, _) = fixture.take_sends()[0];
+        fixture.finish_send(send_id, result.clone());
         assert_eq!(!fixture.take_sends().is_empty(), resent, "{result:?}");
         assert_eq!(fixture.take_outcomes().is_empty(), resent, "{result:?}");
     }
@@ -291,11 +291,11 @@
 fn order_is_never_hedged_or_cancelled() {
     let mut fixture = Fixture::new();
     fixture.learn_latency(400);
-    fixture.submit(Work::Order("o".into()));
+    fixture.submit(Operation::Order("o".into()));
     assert_eq!(fixture.take_sends().len(), 1);
     fixture.tick(2000);
     assert!(fixture.take_sends().is_empty());
-    assert!(!fixture.out.iter().any(|a| matches!(a, Action::Abort { .. })));
+    assert!(!fixture.out.iter().any(|a| matches!(a, Action::Cancel { .. })));
     assert_eq!(
         fixture.take_outcomes(),
         [Outcome::Failed(Failure::Closed)],
@@ -310,7 +310,7 @@
         fixture.search();
     }
     fixture.take_sends();
-    fixture.submit(Work::Order("o".into()));
+    fixture.submit(Operation::Order("o".into()));
     fixture.tick(1200);
     assert!(fixture.take_outcomes().contains(&Outcome::Expired));
 }
@@ -322,9 +322,9 @@
         fixture.search();
     }
     let queue_deadline = fixture.now + Millis::new(5);
-    let leaf = fixture.leaf(Work::Search, Some(queue_deadline));
+    let leaf = fixture.leaf(Operation::Search, Some(queue_deadline));
     let replicas = (0..3).map(Upstream).collect();
-    fixture.on(Event::Ask { group: GROUP, replicas, leaf });
+    fixture.handle(Event::Request { group: GROUP, replicas, leaf });
     fixture.tick(4);
     assert!(fixture.take_outcomes().is_empty());
     fixture.tick(2);
@@ -342,20 +342,20 @@
     fixture.owner.hand_over(GROUP, Some(Vm(2)), &mut out);
     fixture.out.extend(out);
     assert_eq!(fixture.take_outcomes(), [Outcome::Moved(Some(Vm(2))), Outcome::Moved(Some(Vm(2)))]);
-    assert!(!fixture.owner.forget(GROUP), "requests are in flight");
-    for (ticket, _) in in_flight {
-        fixture.reply_items(ticket);
+    assert!(!fixture.owner.remove_idle_group(GROUP), "requests are in flight");
+    for (send_id, _) in in_flight {
+        fixture.reply_items(send_id);
     }
     assert_eq!(fixture.take_outcomes().len(), 6, "every request in flight was finished");
-    assert!(fixture.owner.forget(GROUP));
+    assert!(fixture.owner.remove_idle_group(GROUP));
 }
 
 #[test]
 fn request_for_a_snapshot_without_holder_fails_at_once() {
     let mut fixture = Fixture::new();
-    let other_snapshot: Held = [Snapshot { version: 9, ..SNAPSHOT }].into_iter().collect();
+    let other_snapshot: HeldSnapshots = [Snapshot { version: 9, ..SNAPSHOT }].into_iter().collect();
     for upstream in 0..3 {
-        fixture.on(Event::Held(Upstream(upstream), other_snapshot.clone()));
+        fixture.handle(Event::SnapshotsReported(Upstream(upstream), other_snapshot.clone()));
     }
     fixture.search();
     assert_eq!(fixture.take_outcomes(), [Outcome::Gone]);
@@ -371,9 +371,9 @@
         fixture.search();
     }
     fixture.take_sends();
-    let other_snapshot: Held = [Snapshot { version: 9, ..SNAPSHOT }].into_iter().collect();
+    let other_snapshot: HeldSnapshots = [Snapshot { version: 9, ..SNAPSHOT }].into_iter().collect();
     for upstream in 0..3 {
-        fixture.on(Event::Held(Upstream(upstream), other_snapshot.clone()));
+        fixture.handle(Event::SnapshotsReported(Upstream(upstream), other_snapshot.clone()));
     }
     fixture.tick(1);
     assert_eq!(fixture.take_outcomes(), [Outcome::Gone]);
--- a/crates/tgw-node/src/event.rs
+++ b/crates/tgw-node/src/event.rs
@@ -5,9 +5,9 @@
 use tgw_clock::Millis;
 use tgw_dispatch::{
     Leaf,
-    leaf::{Failure, Held, Reply},
-    owner::{self, Ticket},
-    pick::{Late, Policy},
+    leaf::{Failure, HeldSnapshots, Reply},
+    owner::{self, SendId},
+    policy::{LateBinding, Policy},
 };
 use tgw_owner::Directory;
 use tgw_query::{
@@ -57,8 +57,12 @@
             entry: tgw_query::Options { vm, incarnation, places, adapt: true, sample, hedge: true },
             place,
             distance,
-            policy: Box::new(|_| Box::new(Late)),
-            dispatch: owner::Options { hedge: 1.0, ramp: true, ..owner::Options::default() },
+            policy: Box::new(|_| Box::new(LateBinding)),
+            dispatch: owner::Options {
+                hedge_budget: 1.0,
+                slow_start: true,
+                ..owner::Options::default()
+            },
         }
     }
 }
@@ -111,18 +115,18 @@
     /// A send to an upstream has ended.
     Done {
         /// The send.
-        ticket: Ticket,
+        ticket: SendId,
         /// The reply, or why there is none.
         result: Result<Reply, Failure>,
         /// The snapshots that the upstream says it holds.
-        held: Option<Held>,
+        held: Option<HeldSnapshots>,
     },
     /// The upstream or the platform reports that the upstream leaves.
     Leaving(Upstream),
     /// An upstream answered with a different incarnation than before.
     Restarted(Upstream),
     /// An upstream reported the snapshots that it holds.
-    Held(Upstream, Held),
+    Held(Upstream, HeldSnapshots),
     /// A caller's order.
     Order(Intake),
     /// The store's answer to a call requested by [`Output::Store`].
@@ -149,7 +153,7 @@
     /// Send a request to an upstream.
     Send {
         /// Identifies the send in [`Input::Done`].
-        ticket: Ticket,
+        ticket: SendId,
         /// The upstream.
         upstream: Upstream,
         /// The request.
@@ -158,7 +162,7 @@
     /// Cancel a request at an upstream.
     Abort {
         /// The send.
-        ticket: Ticket,
+        ticket: SendId,
         /// The upstream.
         upstream: Upstream,
     },
@@ -184,7 +188,7 @@
     /// About a query, at the VM that received it.
     Entry(QueryNote),
     /// About a leaf request or an upstream, at the group's owner.
-    Dispatch(owner::Note),
+    Dispatch(owner::Decision),
     /// About the ownership of a group.
     Placement(Placement),
 }
--- a/crates/tgw-node/src/message.rs
+++ b/crates/tgw-node/src/message.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 use tgw_clock::Millis;
-use tgw_dispatch::leaf::{Key, Outcome, Stock, Work};
+use tgw_dispatch::leaf::{Key, Operation, Outcome, SnapshotCounts};
 use tgw_topology::{Group, Snapshot, Upstream};
 
 /// One message.
@@ -48,7 +48,7 @@
     /// Whether decisions about the request are logged.
     pub traced: bool,
     /// The operation at the upstream.
-    pub work: Work,
+    pub work: Operation,
 }
 
 /// An order, to the VM that claims orders of its key's bucket.
@@ -78,7 +78,7 @@
     /// Its outcome.
     pub outcome: Outcome,
     /// The snapshots that the group's upstreams hold, if known.
-    pub stock: Option<Stock>,
+    pub stock: Option<SnapshotCounts>,
     /// Sends to upstreams beyond the first.
     pub extra: u8,
     /// Time in the queue.
--- a/crates/tgw-node/src/node.rs
+++ b/crates/tgw-node/src/node.rs
@@ -12,7 +12,7 @@
 use tgw_clock::Millis;
 use tgw_dispatch::{
     Leaf, Owner, Rank,
-    leaf::{Held, Outcome, Work},
+    leaf::{HeldSnapshots, Operation, Outcome},
     owner,
 };
 use tgw_owner::{Directory, Map};
@@ -144,12 +144,16 @@
 
     /// Requests in flight from this VM to an upstream.
     pub fn running(&self, upstream: Upstream) -> usize {
-        self.owner.running(upstream)
+        self.owner.in_flight(upstream)
     }
 
     /// The health estimate of an upstream, if this VM dispatches to it.
-    pub fn belief(&self, now: Millis, upstream: Upstream) -> Option<(Rank, Option<&Held>, f64)> {
-        self.owner.belief(now, upstream)
+    pub fn belief(
+        &self,
+        now: Millis,
+        upstream: Upstream,
+    ) -> Option<(Rank, Option<&HeldSnapshots>, f64)> {
+        self.owner.estimate(now, upstream)
     }
 
     /// Whether an upstream is marked as leaving.
@@ -193,7 +197,11 @@
             Input::Peer(from, message) => self.handle_message(now, from, message, out),
             Input::Lost(vm) => self.handle_vm_lost(now, vm, out),
             Input::Done { ticket, result, held } => {
-                self.handle_owner_event(now, owner::Event::Done { ticket, result, held }, out);
+                self.handle_owner_event(
+                    now,
+                    owner::Event::SendEnded { send_id: ticket, result, snapshots: held },
+                    out,
+                );
             }
             Input::Leaving(upstream) => self.mark_leaving(now, upstream, true, out),
             Input::Restarted(upstream) => {
@@ -201,7 +209,7 @@
                 self.handle_owner_event(now, owner::Event::Restarted(upstream), out);
             }
             Input::Held(upstream, held) => {
-                self.handle_owner_event(now, owner::Event::Held(upstream, held), out);
+                self.handle_owner_event(now, owner::Event::SnapshotsReported(upstream, held), out);
             }
             Input::Order(incoming) => self.submit_order(now, incoming, out),
             Input::Store(event) => {
@@ -276,12 +284,22 @@
             return self.send_message(now, from, Message::Outcome(Told::bare(key, outcome)), out);
         }
         let replicas = match &work {
-            Work::Search => self.catalog.replicas(group.service, snapshot.layout, key.shard).into(),
-            Work::Order(_) => self.upstreams(group),
+            Operation::Search => {
+                self.catalog.replicas(group.service, snapshot.layout, key.shard).into()
+            }
+            Operation::Order(_) => self.upstreams(group),
         };
         let give_back = patience.map(|p| now + p);
-        let leaf = Leaf { key, snapshot, deadline: now + left, give_back, body, traced, work };
-        self.handle_owner_event(now, owner::Event::Ask { group, replicas, leaf }, out);
+        let leaf = Leaf {
+            key,
+            snapshot,
+            deadline: now + left,
+            queue_deadline: give_back,
+            body,
+            traced,
+            operation: work,
+        };
+        self.handle_owner_event(now, owner::Event::Request { group, replicas, leaf }, out);
     }
 
     /// Calls `work` with the query fan-out and the view it decides on.
@@ -304,11 +322,21 @@
         for action in actions {
             match action {
                 Action::Ask { to, group, stand_in, leaf } => {
-                    let Leaf { key, snapshot, deadline, give_back, body, traced, work } = leaf;
+                    let Leaf { key, snapshot, deadline, queue_deadline, body, traced, operation } =
+                        leaf;
                     let left = deadline - now;
-                    let patience = give_back.map(|at| at - now);
-                    let ask =
-                        Ask { group, stand_in, key, snapshot, left, patience, body, traced, work };
+                    let patience = queue_deadline.map(|at| at - now);
+                    let ask = Ask {
+                        group,
+                        stand_in,
+                        key,
+                        snapshot,
+                        left,
+                        patience,
+                        body,
+                        traced,
+                        work: operation,
+                    };
                     self.send_message(now, to, Message::Ask(ask), out);
                 }
                 Action::Cancel { to, key } => self.send_message(now, to, Message::Cancel(key), out),
@@ -326,21 +354,35 @@
         out: &mut Vec<Output>,
     ) {
         let mut actions = Vec::new();
-        self.owner.on(now, event, &mut actions);
+        self.owner.handle(now, event, &mut actions);
         for action in actions {
             match action {
-                owner::Action::Send { ticket, upstream, leaf } => {
-                    out.push(Output::Send { ticket, upstream, leaf });
+                owner::Action::Send { send_id, upstream, leaf } => {
+                    out.push(Output::Send { ticket: send_id, upstream, leaf });
                 }
-                owner::Action::Abort { ticket, upstream } => {
-                    out.push(Output::Abort { ticket, upstream });
+                owner::Action::Cancel { send_id, upstream } => {
+                    out.push(Output::Abort { ticket: send_id, upstream });
                 }
-                owner::Action::Answer { key, outcome, stock, extra, waited, pressure } => {
-                    let completion = Told { key, outcome, stock, extra, waited, pressure };
+                owner::Action::Answer {
+                    key,
+                    outcome,
+                    snapshot_counts,
+                    extra_sends,
+                    queue_wait,
+                    load_ratio,
+                } => {
+                    let completion = Told {
+                        key,
+                        outcome,
+                        stock: snapshot_counts,
+                        extra: extra_sends,
+                        waited: queue_wait,
+                        pressure: load_ratio,
+                    };
                     self.send_message(now, key.from, Message::Outcome(completion), out);
                 }
-                owner::Action::Note(note) => {
-                    if note.what == owner::What::Leaving {
+                owner::Action::LogDecision(note) => {
+                    if note.kind == owner::DecisionKind::Leaving {
                         self.mark_leaving(now, note.upstream, true, out);
                     }
                     out.push(Output::Note(Note::Dispatch(note)));
--- a/crates/tgw-node/src/orders.rs
+++ b/crates/tgw-node/src/orders.rs
@@ -3,7 +3,7 @@
 use smallvec::SmallVec;
 use std::collections::BTreeMap;
 use tgw_clock::Millis;
-use tgw_dispatch::leaf::{Failure, Key as LeafKey, Outcome as LeafOutcome, Work};
+use tgw_dispatch::leaf::{Failure, Key as LeafKey, Operation, Outcome as LeafOutcome};
 use tgw_order::{
     Action, Event, Key, Outcome, RunOutcome, Stats, Waiter, Worker, key::BUCKET_COUNT,
 };
@@ -187,7 +187,7 @@
             patience: None,
             body: self.bodies.get(&key).cloned().unwrap_or_default(),
             traced: true,
-            work: Work::Order(key.name()),
+            work: Operation::Order(key.name()),
         };
         self.sent.insert(number, Sent { key, to: vm, deadline, tried });
         vec![Effect::Send(vm, Message::Ask(ask))]
--- a/crates/tgw-node/src/ownership.rs
+++ b/crates/tgw-node/src/ownership.rs
@@ -105,7 +105,7 @@
     pub(crate) fn handle_pause(&mut self, now: Millis, out: &mut Vec<Output>) {
         self.orders.restart_ownership(now);
         for group in self.groups.restart_takeovers(now) {
-            self.owner.share(group, TAKEOVER_SLOT_SHARE);
+            self.owner.set_slot_share(group, TAKEOVER_SLOT_SHARE);
             self.log_placement(group, "resumed after a pause with half of the slots", out);
         }
     }
@@ -158,7 +158,7 @@
                     self.serve_group(now, group, out);
                     self.log_placement(group, why, out);
                 }
-                Effect::SetSlotShare(share) => self.owner.share(group, share),
+                Effect::SetSlotShare(share) => self.owner.set_slot_share(group, share),
                 Effect::HandOver(to) => {
                     let mut actions = Vec::new();
                     self.owner.hand_over(group, to, &mut actions);
@@ -166,20 +166,27 @@
                         if let owner::Action::Answer {
                             key,
                             outcome,
-                            stock,
-                            extra,
-                            waited,
-                            pressure,
+                            snapshot_counts,
+                            extra_sends,
+                            queue_wait,
+                            load_ratio,
                         } = action
                         {
-                            let completion = Told { key, outcome, stock, extra, waited, pressure };
+                            let completion = Told {
+                                key,
+                                outcome,
+                                stock: snapshot_counts,
+                                extra: extra_sends,
+                                waited: queue_wait,
+                                pressure: load_ratio,
+                            };
                             self.send_message(now, key.from, Message::Outcome(completion), out);
                         }
                     }
                     self.log_placement(group, why, out);
                 }
                 Effect::Remove => {
-                    if self.owner.forget(group) {
+                    if self.owner.remove_idle_group(group) {
                         self.groups.remove(group);
                         out.push(Output::Disconnect(self.upstreams(group)));
                     }
@@ -195,7 +202,7 @@
         let catalog = self.catalog.clone();
         let nodes: Vec<&UpstreamEntry> =
             upstreams.iter().filter_map(|u| catalog.upstreams.get(u)).collect();
-        self.owner.take(group, &nodes, &options);
+        self.owner.serve_group(group, &nodes, &options);
     }
 
     pub(crate) fn serve_group(&mut self, now: Millis, group: Group, out: &mut Vec<Output>) {
@@ -223,9 +230,9 @@
         let name = self.catalog.services.get(&group.service).map(|s| &s.name);
         let row = name.and_then(|n| self.table.as_ref()?.rows.get(n));
         if let Some(row) = row {
-            options.hedge = options.hedge.min(row.hedge_pct / 100.0);
-            options.retry = row.retry_pct / 100.0;
-            options.attempts = row.attempts;
+            options.hedge_budget = options.hedge_budget.min(row.hedge_pct / 100.0);
+            options.retry_budget = row.retry_pct / 100.0;
+            options.max_attempts = row.attempts;
         }
         options
     }
--- a/crates/tgw-node/tests/node.rs
+++ b/crates/tgw-node/tests/node.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use tgw_clock::Millis;
-use tgw_dispatch::leaf::{Failure, Key, Outcome, Work};
+use tgw_dispatch::leaf::{Failure, Key, Operation, Outcome};
 use tgw_node::{
     Message,
     message::{Ask, Order, Told},
@@ -39,8 +39,8 @@
     };
     let outcome_message = |outcome| Message::Outcome(Told::bare(key, outcome));
     vec![
-        Message::Ask(ask(Work::Search)),
-        Message::Ask(ask(Work::Order("o".into()))),
+        Message::Ask(ask(Operation::Search)),
+        Message::Ask(ask(Operation::Order("o".into()))),
         Message::Cancel(key),
         outcome_message(Outcome::Items(Bytes::from_static(b"[]"))),
         outcome_message(Outcome::Failed(Failure::Malformed)),
--- a/crates/tgw-query/src/attempt.rs
+++ b/crates/tgw-query/src/attempt.rs
@@ -7,7 +7,7 @@
 use rand::Rng;
 use smallvec::SmallVec;
 use tgw_clock::Millis;
-use tgw_dispatch::leaf::{Key, Leaf, Work};
+use tgw_dispatch::leaf::{Key, Leaf, Operation};
 use tgw_tail::{Average, Budget, Hedge};
 use tgw_topology::{Group, Service, Vm};
 
@@ -96,10 +96,10 @@
             key,
             snapshot: running.snapshot,
             deadline: running.deadline,
-            give_back: queue_timeout.map(|p| cx.now + p),
+            queue_deadline: queue_timeout.map(|p| cx.now + p),
             body: running.body.clone(),
             traced,
-            work: Work::Search,
+            operation: Operation::Search,
         };
         cx.out.push(Action::Ask { to, group, stand_in, leaf });
         true
--- a/crates/tgw-query/src/outcome.rs
+++ b/crates/tgw-query/src/outcome.rs
@@ -7,7 +7,7 @@
     step::{Action, AttemptReason, DecisionKind},
 };
 use tgw_clock::Millis;
-use tgw_dispatch::leaf::{Key, Outcome, Stock};
+use tgw_dispatch::leaf::{Key, Outcome, SnapshotCounts};
 use tgw_topology::{Group, Service, Vm};
 
 /// Most times that the request for one shard is sent to another owner after a VM declined it.
@@ -31,7 +31,7 @@
         from: Vm,
         key: Key,
         outcome: Outcome,
-        stock: Option<Stock>,
+        stock: Option<SnapshotCounts>,
         report: OwnerReport,
     ) {
         let Some(mut running) = self.running.remove(&key.query) else {
--- a/crates/tgw-query/src/step.rs
+++ b/crates/tgw-query/src/step.rs
@@ -5,7 +5,7 @@
 use derive_more::Display;
 use smallvec::SmallVec;
 use tgw_clock::Millis;
-use tgw_dispatch::leaf::{Key, Leaf, Outcome, Stock};
+use tgw_dispatch::leaf::{Key, Leaf, Outcome, SnapshotCounts};
 use tgw_table::Document;
 use tgw_topology::{
     Catalog, Group, Place, Query, Service, Shard, Snapshot, Vm, catalog::Index, place::Distance,
@@ -64,7 +64,7 @@
         /// The outcome.
         outcome: Outcome,
         /// The snapshots held in its group, if known.
-        stock: Option<Stock>,
+        stock: Option<SnapshotCounts>,
         /// Sends beyond the first.
         extra: u8,
         /// Time in the owner's queue.
--- a/crates/tgw-query/src/tracker.rs
+++ b/crates/tgw-query/src/tracker.rs
@@ -1,7 +1,7 @@
 use crate::{snapshot::CachedChoice, step::View};
 use std::collections::BTreeMap;
 use tgw_clock::Millis;
-use tgw_dispatch::leaf::{Held, Stock};
+use tgw_dispatch::leaf::{HeldSnapshots, SnapshotCounts};
 use tgw_tail::Average;
 use tgw_topology::{Group, Service, Snapshot, Vm};
 
@@ -37,9 +37,9 @@
     updated_at: Millis,
     /// Number of attempts in flight by the time they were sent.
     in_flight: BTreeMap<Millis, u32>,
-    snapshot_counts: Option<Stock>,
+    snapshot_counts: Option<SnapshotCounts>,
     /// Snapshots reported as not held since the group last listed its snapshots.
-    missing_snapshots: Held,
+    missing_snapshots: HeldSnapshots,
     /// Until when the group is avoided after failures, and for how long after the next one.
     avoid_until: Millis,
     avoidance: Millis,
@@ -95,7 +95,12 @@
     }
 
     /// Records the snapshots that a group holds.
-    pub(crate) fn record_snapshots(&mut self, now: Millis, group: Group, snapshot_counts: Stock) {
+    pub(crate) fn record_snapshots(
+        &mut self,
+        now: Millis,
+        group: Group,
+        snapshot_counts: SnapshotCounts,
+    ) {
         let group_state = self.group_state_mut(now, group);
         if group_state.snapshot_counts.as_ref() != Some(&snapshot_counts)
             || !group_state.missing_snapshots.is_empty()
@@ -239,7 +244,7 @@
             updated_at: now,
             in_flight: BTreeMap::new(),
             snapshot_counts: None,
-            missing_snapshots: Held::new(),
+            missing_snapshots: HeldSnapshots::new(),
             avoid_until: Millis::ZERO,
             avoidance: MIN_AVOIDANCE_MS,
         })
--- a/crates/tgw-query/tests/simulation/mod.rs
+++ b/crates/tgw-query/tests/simulation/mod.rs
@@ -10,7 +10,7 @@
     net::{Ipv4Addr, SocketAddr},
 };
 use tgw_clock::Millis;
-use tgw_dispatch::leaf::{Failure, Leaf, Outcome, Stock};
+use tgw_dispatch::leaf::{Failure, Leaf, Outcome, SnapshotCounts};
 use tgw_query::{Action, Answer, Entry, Event, Options, Owners, View};
 use tgw_table::{Document, Row};
 use tgw_topology::{
@@ -190,7 +190,7 @@
             _ if !held.contains(&leaf.snapshot) => Outcome::Gone,
             _ => Outcome::Items(tagged_items(&leaf.body, leaf.snapshot, leaf.key.shard.0)),
         };
-        let stock: Stock = held.iter().map(|s| (*s, 1)).collect();
+        let stock: SnapshotCounts = held.iter().map(|s| (*s, 1)).collect();
         let stock = self.rng.random_bool(0.7).then_some(stock);
         let event = Event::Outcome {
             from: to,
--- a/crates/tgw-replay/src/render.rs
+++ b/crates/tgw-replay/src/render.rs
@@ -62,7 +62,7 @@
         Note::Entry(note) => format!("note {} {}", note.query, note.what),
         Note::Dispatch(note) => {
             let key = note.key.map(|k| k.to_string()).unwrap_or_default();
-            format!("note {key} {} {} passed {:?}", note.what, note.upstream, note.passed)
+            format!("note {key} {} {} passed {:?}", note.kind, note.upstream, note.skipped)
         }
         Note::Placement(place) => {
             let owner = place.owner.map(|vm| vm.to_string()).unwrap_or_default();
--- a/crates/tgw-serve/src/log.rs
+++ b/crates/tgw-serve/src/log.rs
@@ -67,22 +67,22 @@
             }
             Note::Dispatch(note) => {
                 let query = note.key.map(|k| k.query.to_string()).unwrap_or_default();
-                let (upstream, what) = (note.upstream, note.what);
+                let (upstream, kind) = (note.upstream, note.kind);
                 let passed: Vec<String> =
-                    note.passed.iter().map(|(u, why)| format!("{u}: {why}")).collect();
+                    note.skipped.iter().map(|(u, why)| format!("{u}: {why}")).collect();
                 let passed = passed.join(", ");
                 match note.key {
                     Some(key) => {
                         let (shard, attempt) = (key.shard, key.attempt);
                         tracing::info!(target: "tgw::decision", %query, %shard, attempt,
-                            %upstream, decision = %what, %passed);
+                            %upstream, decision = %kind, %passed);
                         let text = format!(
-                            "{what} shard {shard}#{attempt} to {upstream}, passed [{passed}]"
+                            "{kind} shard {shard}#{attempt} to {upstream}, passed [{passed}]"
                         );
                         self.keep(now, &query, "owner", text);
                     }
                     None => {
-                        tracing::info!(target: "tgw::decision", %upstream, decision = %what);
+                        tracing::info!(target: "tgw::decision", %upstream, decision = %kind);
                     }
                 }
             }
--- a/crates/tgw-serve/src/upstreams.rs
+++ b/crates/tgw-serve/src/upstreams.rs
@@ -12,7 +12,7 @@
 use tgw_clock::{Clock, Freeze, Millis};
 use tgw_dispatch::{
     Leaf,
-    leaf::{Failure, Reply, Work as Kind},
+    leaf::{Failure, Operation, Reply},
 };
 use tgw_ring::{Receiver, Sender};
 use tgw_topology::Upstream;
@@ -163,7 +163,7 @@
     async fn send(self: Rc<Self>, ticket: u64, upstream: Upstream, leaf: Leaf) {
         let client = self.served.borrow().get(&upstream).map(|s| s.client.clone());
         let done = match client {
-            Some(client) if leaf.once() => self.order(client, ticket, leaf).await,
+            Some(client) if leaf.is_order() => self.order(client, ticket, leaf).await,
             Some(client) => {
                 let search = Search {
                     request: self.request(ticket),
@@ -182,7 +182,7 @@
     }
 
     async fn order(&self, client: Client, ticket: u64, leaf: Leaf) -> Work {
-        let Kind::Order(name) = &leaf.work else {
+        let Operation::Order(name) = &leaf.operation else {
             return Work::Done { ticket, result: Err(Failure::Connect), held: None };
         };
         // A paused VM can come to this line long after the deadline, when the caller has been told
--- a/crates/tgw-serve/src/work.rs
+++ b/crates/tgw-serve/src/work.rs
@@ -4,7 +4,7 @@
 use tgw_clock::Millis;
 use tgw_dispatch::{
     Leaf,
-    leaf::{Failure, Held, Reply},
+    leaf::{Failure, HeldSnapshots, Reply},
 };
 use tgw_member::Force;
 use tgw_node::Message;
@@ -54,8 +54,8 @@
     Store(tgw_order::Event),
     Messages(Vm, Vec<Message>),
     Lost(Vm),
-    Done { ticket: u64, result: Result<Reply, Failure>, held: Option<Held> },
-    Held(Upstream, Held),
+    Done { ticket: u64, result: Result<Reply, Failure>, held: Option<HeldSnapshots> },
+    Held(Upstream, HeldSnapshots),
     Leaving(Upstream),
     Restarted(Upstream),
     Catalog(Arc<Catalog>),
--- a/crates/tgw-upstream/src/client.rs
+++ b/crates/tgw-upstream/src/client.rs
@@ -9,7 +9,7 @@
 use hyper_util::rt::TokioIo;
 use std::{cell::Cell, cell::RefCell, net::SocketAddr, rc::Rc};
 use tgw_clock::Millis;
-use tgw_dispatch::leaf::{Failure, Held, Reply};
+use tgw_dispatch::leaf::{Failure, HeldSnapshots, Reply};
 use tgw_topology::{Shard, Snapshot};
 use tokio::{net::TcpStream, time::timeout};
 
@@ -41,7 +41,7 @@
     /// The result.
     pub result: T,
     /// The snapshots that the upstream says it holds.
-    pub held: Option<Held>,
+    pub held: Option<HeldSnapshots>,
     /// The life of the upstream's process, if it says.
     pub incarnation: Option<u64>,
 }
--- a/crates/tgw-upstream/src/protocol.rs
+++ b/crates/tgw-upstream/src/protocol.rs
@@ -1,7 +1,7 @@
 //! The upstreams' protocol: paths, headers and reasons, as `docs/API.md` describes them.
 
 use hyper::header::HeaderName;
-use tgw_dispatch::leaf::Held;
+use tgw_dispatch::leaf::HeldSnapshots;
 use tgw_topology::{Layout, Snapshot};
 
 /// Search of one shard.
@@ -60,6 +60,6 @@
 }
 
 /// Reads a list of snapshots; `None` if any is malformed.
-pub fn read_held(text: &str) -> Option<Held> {
+pub fn read_held(text: &str) -> Option<HeldSnapshots> {
     text.split(',').filter(|s| !s.trim().is_empty()).map(read_snapshot).collect()
 }
--- a/crates/tgw-upstream/src/reply.rs
+++ b/crates/tgw-upstream/src/reply.rs
@@ -2,7 +2,7 @@
 use bytes::Bytes;
 use hyper::{HeaderMap, StatusCode, header::HeaderName};
 use serde_json::value::RawValue;
-use tgw_dispatch::leaf::{Failure, Held, Reply};
+use tgw_dispatch::leaf::{Failure, HeldSnapshots, Reply};
 use tgw_topology::Shard;
 
 /// The reply that a status, headers and body amount to. Errors: the reply is not understood.
@@ -30,7 +30,7 @@
 }
 
 /// The snapshots that the reply says are held.
-pub(crate) fn held(headers: &HeaderMap) -> Option<Held> {
+pub(crate) fn held(headers: &HeaderMap) -> Option<HeldSnapshots> {
     header(headers, protocol::HELD).and_then(protocol::read_held)
 }
 
