--- a/crates/tgw-bench/src/answers.rs
+++ b/crates/tgw-bench/src/answers.rs
@@ -17,7 +17,7 @@
         let counts = (coverage.shards as u64, coverage.answered as u64);
         let took = self.now - waiting.at;
         let name = name.unwrap_or_default();
-        self.collector.answer(waiting.at, took, &name, answer.enough, counts);
+        self.collector.answer(waiting.at, took, &name, answer.meets_least_coverage, counts);
     }
 
     /// Compares an answer with what the upstreams were asked for.
--- a/crates/tgw-bench/src/sim.rs
+++ b/crates/tgw-bench/src/sim.rs
@@ -226,8 +226,8 @@
         }
         Options {
             entry: tgw_query::Options {
-                adapt: false,
-                hedge: policy.hedges() && !policy.direct(),
+                adaptive_limits: false,
+                hedge_across_groups: policy.hedges() && !policy.direct(),
                 ..Options::shipped(identity).entry
             },
             place: identity.place,
--- a/crates/tgw-node/src/event.rs
+++ b/crates/tgw-node/src/event.rs
@@ -13,7 +13,7 @@
 use tgw_query::{
     Answer,
     answer::Refusal,
-    step::{Note as QueryNote, Token},
+    event::{Decision as QueryDecision, Token},
 };
 use tgw_table::Document;
 use tgw_topology::{Catalog, Group, Place, Service, Upstream, Vm, place::Distance};
@@ -54,7 +54,14 @@
     pub fn shipped(identity: &Identity) -> Self {
         let Identity { vm, incarnation, place, distance, places, sample } = identity.clone();
         Self {
-            entry: tgw_query::Options { vm, incarnation, places, adapt: true, sample, hedge: true },
+            entry: tgw_query::Options {
+                vm,
+                incarnation,
+                max_running: places,
+                adaptive_limits: true,
+                log_sample_interval: sample,
+                hedge_across_groups: true,
+            },
             place,
             distance,
             policy: Box::new(|_| Box::new(LateBinding)),
@@ -186,7 +193,7 @@
 #[derive(Clone, Debug)]
 pub enum Note {
     /// About a query, at the VM that received it.
-    Entry(QueryNote),
+    Entry(QueryDecision),
     /// About a leaf request or an upstream, at the group's owner.
     Dispatch(owner::Decision),
     /// About the ownership of a group.
--- a/crates/tgw-node/src/node.rs
+++ b/crates/tgw-node/src/node.rs
@@ -191,7 +191,11 @@
     pub(crate) fn handle_input(&mut self, now: Millis, input: Input, out: &mut Vec<Output>) {
         match input {
             Input::Submit { token, service, within, body } => {
-                self.handle_entry_event(now, Event::Submit { token, service, within, body }, out);
+                self.handle_entry_event(
+                    now,
+                    Event::Submit { token, service, timeout: within, body },
+                    out,
+                );
             }
             Input::Abandon(token) => self.handle_entry_event(now, Event::Abandon(token), out),
             Input::Peer(from, message) => self.handle_message(now, from, message, out),
@@ -255,11 +259,19 @@
                 }
             }
             Message::Outcome(Told { key, outcome, stock, extra, waited, pressure }) => {
-                let event = Event::Outcome { from, key, outcome, stock, extra, waited, pressure };
+                let event = Event::Outcome {
+                    from,
+                    key,
+                    outcome,
+                    snapshot_counts: stock,
+                    extra_sends: extra,
+                    queue_wait: waited,
+                    load_ratio: pressure,
+                };
                 self.handle_entry_event(now, event, out);
             }
             Message::Probe => out.push(Output::Tell(from, Message::Alive)),
-            Message::Alive => self.handle_entry_event(now, Event::Heard(from), out),
+            Message::Alive => self.handle_entry_event(now, Event::MessageReceived(from), out),
             Message::Leaving(upstream) => self.mark_leaving(now, upstream, false, out),
         }
     }
@@ -310,18 +322,18 @@
             index: &self.index,
             table: self.table.as_deref(),
             owners: &owners,
-            here: self.place,
-            distance: self.distance,
+            local_place: self.place,
+            network_delays: self.distance,
         };
         work(&mut self.entry, &view)
     }
 
     pub(crate) fn handle_entry_event(&mut self, now: Millis, event: Event, out: &mut Vec<Output>) {
         let mut actions = Vec::new();
-        self.with_view(|entry, view| entry.on(now, event, view, &mut actions));
+        self.with_view(|entry, view| entry.handle(now, event, view, &mut actions));
         for action in actions {
             match action {
-                Action::Ask { to, group, stand_in, leaf } => {
+                Action::Request { to, group, stand_in, leaf } => {
                     let Leaf { key, snapshot, deadline, queue_deadline, body, traced, operation } =
                         leaf;
                     let left = deadline - now;
@@ -342,7 +354,7 @@
                 Action::Cancel { to, key } => self.send_message(now, to, Message::Cancel(key), out),
                 Action::Answer { token, answer } => out.push(Output::Answer(token, answer)),
                 Action::Refuse { token, refusal } => out.push(Output::Refuse(token, refusal)),
-                Action::Note(note) => out.push(Output::Note(Note::Entry(note))),
+                Action::LogDecision(note) => out.push(Output::Note(Note::Entry(note))),
             }
         }
     }
@@ -408,7 +420,7 @@
 
     pub(crate) fn handle_vm_lost(&mut self, now: Millis, vm: Vm, out: &mut Vec<Output>) {
         self.working_for.remove(&vm);
-        self.handle_entry_event(now, Event::Lost(vm), out);
+        self.handle_entry_event(now, Event::Disconnected(vm), out);
         let effects = self.orders.handle_vm_lost(now, vm);
         self.apply_order_effects(now, effects, out);
     }
@@ -440,7 +452,7 @@
         }
         if now - self.probes_sent_at >= PROBE_INTERVAL_MS {
             self.probes_sent_at = now;
-            for vm in self.entry.silent() {
+            for vm in self.entry.unresponsive_vms() {
                 out.push(Output::Tell(vm, Message::Probe));
             }
         }
--- a/crates/tgw-node/src/order_requests.rs
+++ b/crates/tgw-node/src/order_requests.rs
@@ -3,7 +3,7 @@
     orders::{self},
 };
 use tgw_clock::Millis;
-use tgw_query::answer::{Cause, Refusal};
+use tgw_query::answer::{Refusal, RefusalReason};
 use tgw_topology::Group;
 
 /// Retry-after time given to callers whose order was rejected.
@@ -15,10 +15,10 @@
         let name = self.catalog.services.get(&key.service).map(|s| &s.name);
         let row = name.and_then(|n| self.table.as_ref()?.rows.get(n));
         let refusal = match row {
-            _ if self.draining => Some(Cause::Draining),
-            None if self.table.is_none() => Some(Cause::NotReady),
-            None => Some(Cause::UnknownService),
-            Some(row) if !row.orders => Some(Cause::NoOrders),
+            _ if self.draining => Some(RefusalReason::Draining),
+            None if self.table.is_none() => Some(RefusalReason::NotReady),
+            None => Some(RefusalReason::UnknownService),
+            Some(row) if !row.orders => Some(RefusalReason::NoOrders),
             Some(_) => None,
         };
         if let Some(reason) = refusal {
--- a/crates/tgw-node/src/orders.rs
+++ b/crates/tgw-node/src/orders.rs
@@ -8,7 +8,7 @@
     Action, Event, Key, Outcome, RunOutcome, Stats, Waiter, Worker, key::BUCKET_COUNT,
 };
 use tgw_owner::Map;
-use tgw_query::step::Token;
+use tgw_query::event::Token;
 use tgw_topology::{Group, Layout, Query, Shard, Snapshot, Vm};
 
 /// Query numbers from here on belong to orders, which separates their outcomes from those
--- a/crates/tgw-query/src/admission.rs
+++ b/crates/tgw-query/src/admission.rs
@@ -4,7 +4,7 @@
 //! they share the total by the weights of their rows (stride scheduling). The limit of a service
 //! decreases while its outcomes report long waits in the owners' queues, and increases again later.
 
-use crate::{answer::Cause, step::Token};
+use crate::{answer::RefusalReason, event::Token};
 use std::collections::{BTreeMap, VecDeque};
 use tgw_clock::Millis;
 use tgw_table::Row;
@@ -35,7 +35,7 @@
     /// The query is refused.
     Refused {
         /// The reason.
-        cause: Cause,
+        cause: RefusalReason,
         /// Expected time until a query of the service can be admitted.
         retry_after: Millis,
     },
@@ -119,7 +119,10 @@
             state.queued.push_back((token, deadline));
             return Verdict::Queued;
         }
-        Verdict::Refused { cause: Cause::Busy, retry_after: expected_wait.max(MIN_RETRY_AFTER_MS) }
+        Verdict::Refused {
+            cause: RefusalReason::Busy,
+            retry_after: expected_wait.max(MIN_RETRY_AFTER_MS),
+        }
     }
 
     /// Records that a running query of `service` has ended after `duration`; `queue_wait` is the
--- a/crates/tgw-query/src/answer.rs
+++ b/crates/tgw-query/src/answer.rs
@@ -40,7 +40,7 @@
 
 impl Coverage {
     /// The ratio of answered shards, 0 to 1; 1 for an empty layout.
-    pub fn part(&self) -> f64 {
+    pub fn ratio(&self) -> f64 {
         if self.shards == 0 { 1.0 } else { self.answered as f64 / self.shards as f64 }
     }
 }
@@ -57,16 +57,16 @@
     /// Each answered shard's items as a JSON array, by shard.
     pub items: Vec<(Shard, Bytes)>,
     /// Whether the least coverage of the service's row is met; if not, the caller gets an error.
-    pub enough: bool,
+    pub meets_least_coverage: bool,
     /// Time since the query was submitted.
-    pub took: Millis,
+    pub elapsed: Millis,
 }
 
 /// A refused query: no leaf request was or will be sent for it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Refusal {
     /// The reason.
-    pub reason: Cause,
+    pub reason: RefusalReason,
     /// Delay before the caller should retry.
     pub retry_after: Millis,
 }
@@ -74,7 +74,7 @@
 /// Why a query was refused.
 #[derive(Copy, Clone, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Cause {
+pub enum RefusalReason {
     /// The service has no row in the table, or is not in the catalog.
     #[display("unknown_service")]
     UnknownService,
--- a/crates/tgw-query/src/attempt.rs
+++ b/crates/tgw-query/src/attempt.rs
@@ -1,8 +1,8 @@
 use crate::{
     context::Context,
     entry::{Budgets, Entry},
+    event::{Action, AttemptReason, DecisionKind, View},
     running::{Attempt, RunningQuery, ShardProgress},
-    step::{Action, AttemptReason, DecisionKind, View},
 };
 use rand::Rng;
 use smallvec::SmallVec;
@@ -86,7 +86,7 @@
         let shard = progress.shard;
         self.tracker.record_attempt(cx.now, group, to);
         if !matches!(why, AttemptReason::First | AttemptReason::Moved | AttemptReason::Crowded) {
-            self.stats.extra += 1;
+            self.stats.extra_requests += 1;
         }
         cx.log_decision(
             running,
@@ -101,7 +101,7 @@
             traced,
             operation: Operation::Search,
         };
-        cx.out.push(Action::Ask { to, group, stand_in, leaf });
+        cx.out.push(Action::Request { to, group, stand_in, leaf });
         true
     }
 
@@ -174,8 +174,11 @@
             .filter(|o| o.2 != group && !o.0)
             .find(|o| self.select_vm(cx, o.2, progress, why).is_some())
             .map(|o| o.1);
-        let return_delay =
-            cx.view.index.get(group).map(|m| cx.view.distance.between(cx.view.here, m.place));
+        let return_delay = cx
+            .view
+            .index
+            .get(group)
+            .map(|m| cx.view.network_delays.between(cx.view.local_place, m.place));
         let queue_timeout = alternative.map(|other| {
             Millis::from_f64(MAX_QUEUE_WAIT_RATIO * (other + return_delay.unwrap_or_default()))
         });
--- a/crates/tgw-query/src/context.rs
+++ b/crates/tgw-query/src/context.rs
@@ -1,6 +1,6 @@
 use crate::{
+    event::{Action, Decision, DecisionKind, View},
     running::RunningQuery,
-    step::{Action, DecisionKind, Note, View},
 };
 use tgw_clock::Millis;
 use tgw_table::Row;
@@ -25,12 +25,12 @@
     pub(crate) fn log_decision(&mut self, running: &RunningQuery, kind: DecisionKind) {
         if running.traced {
             let RunningQuery { query, service, deadline, .. } = running;
-            let left = *deadline - self.now;
-            self.out.push(Action::Note(Note {
+            let remaining = *deadline - self.now;
+            self.out.push(Action::LogDecision(Decision {
                 query: *query,
                 service: *service,
-                left,
-                what: kind,
+                remaining,
+                kind,
             }));
         }
     }
--- a/crates/tgw-query/src/entry.rs
+++ b/crates/tgw-query/src/entry.rs
@@ -1,11 +1,11 @@
 use crate::{
     admission::{Controller, Verdict},
-    answer::{Answer, Cause, MissingReason, Refusal},
+    answer::{Answer, MissingReason, Refusal, RefusalReason},
     context::Context,
+    event::{Action, AttemptReason, DecisionKind, Event, Token, View},
     outcome::OwnerReport,
     running::RunningQuery,
     snapshot::{self, Candidate},
-    step::{Action, AttemptReason, DecisionKind, Event, Token, View},
     tracker::Tracker,
 };
 use bytes::Bytes;
@@ -29,36 +29,36 @@
     /// The incarnation of the VM, new with each start of its process.
     pub incarnation: u64,
     /// Most queries that run at once over all services.
-    pub places: u32,
+    pub max_running: u32,
     /// Adapt the limits of services to the waits in the owners' queues.
-    pub adapt: bool,
+    pub adaptive_limits: bool,
     /// One in this many queries has its decisions logged; zero logs none.
-    pub sample: u64,
+    pub log_sample_interval: u64,
     /// Hedge late attempts to other groups.
-    pub hedge: bool,
+    pub hedge_across_groups: bool,
 }
 
 /// Counters since the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
     /// First leaf requests of shards.
-    pub leafs: u64,
+    pub first_requests: u64,
     /// Leaf requests beyond the first of each shard.
-    pub extra: u64,
+    pub extra_requests: u64,
     /// Sends beyond the first of each leaf request, as reported by owners.
-    pub extra_owner: u64,
+    pub extra_sends: u64,
     /// Outcomes that arrived after their query or attempt had ended.
-    pub late: u64,
+    pub late_outcomes: u64,
     /// Outcomes from a VM that was not sent the attempt, or for an attempt that was never made.
-    pub crossed: u64,
+    pub unmatched_outcomes: u64,
     /// Restarts of queries on another snapshot.
     pub restarts: u64,
     /// Answers with all shards.
-    pub whole: u64,
+    pub complete: u64,
     /// Answers that miss shards but meet the row's least coverage.
     pub partial: u64,
     /// Answers below the row's least coverage.
-    pub short: u64,
+    pub below_least_coverage: u64,
     /// Refused queries.
     pub refused: u64,
 }
@@ -98,7 +98,7 @@
     /// An entry without queries.
     pub fn new(options: Options) -> Self {
         Self {
-            admission: Controller::new(options.places, options.adapt),
+            admission: Controller::new(options.max_running, options.adaptive_limits),
             tracker: Tracker::default(),
             queued: BTreeMap::new(),
             running: BTreeMap::new(),
@@ -133,26 +133,33 @@
     }
 
     /// The VMs that owe outcomes and are unresponsive.
-    pub fn silent(&self) -> Vec<Vm> {
+    pub fn unresponsive_vms(&self) -> Vec<Vm> {
         self.tracker.unresponsive_vms()
     }
 
     /// Handles one event at `now` and appends the resulting actions.
-    pub fn on(&mut self, now: Millis, event: Event, view: &View<'_>, out: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: Millis, event: Event, view: &View<'_>, out: &mut Vec<Action>) {
         let cx = &mut Context { now, view, out };
         match event {
-            Event::Submit { token, service, within, body } => {
-                self.submit(cx, token, service, within, body);
+            Event::Submit { token, service, timeout, body } => {
+                self.submit(cx, token, service, timeout, body);
             }
             Event::Abandon(token) => self.abandon(cx, token),
-            Event::Outcome { from, key, outcome, stock, extra, waited, pressure } => {
+            Event::Outcome {
+                from,
+                key,
+                outcome,
+                snapshot_counts,
+                extra_sends,
+                queue_wait,
+                load_ratio,
+            } => {
                 self.tracker.record_message(now, from);
-                let report =
-                    OwnerReport { extra_sends: extra, queue_wait: waited, load_ratio: pressure };
-                self.handle_outcome(cx, from, key, outcome, stock, report);
+                let report = OwnerReport { extra_sends, queue_wait, load_ratio };
+                self.handle_outcome(cx, from, key, outcome, snapshot_counts, report);
             }
-            Event::Heard(vm) => self.tracker.record_message(now, vm),
-            Event::Lost(vm) => {
+            Event::MessageReceived(vm) => self.tracker.record_message(now, vm),
+            Event::Disconnected(vm) => {
                 self.tracker.record_disconnect(vm);
                 self.reassign_attempts(cx, vm);
             }
@@ -166,14 +173,14 @@
         cx: &mut Context<'_>,
         token: Token,
         service: Service,
-        within: Option<Millis>,
+        timeout: Option<Millis>,
         body: Bytes,
     ) {
         let row = match self.admissible_row(cx, service) {
             Ok(row) => row,
             Err(reason) => return self.refuse(cx, token, reason, RETRY_AFTER_MS),
         };
-        let timeout = within.map_or(row.deadline(), |w| w.min(row.deadline()));
+        let timeout = timeout.map_or(row.deadline(), |t| t.min(row.deadline()));
         let queued = QueuedQuery {
             service,
             body,
@@ -193,21 +200,21 @@
         &self,
         cx: &Context<'a>,
         service: Service,
-    ) -> Result<&'a Row, Cause> {
+    ) -> Result<&'a Row, RefusalReason> {
         if self.draining {
-            return Err(Cause::Draining);
+            return Err(RefusalReason::Draining);
         }
         if cx.view.table.is_none() {
-            return Err(Cause::NotReady);
+            return Err(RefusalReason::NotReady);
         }
-        cx.row(service).ok_or(Cause::UnknownService)
+        cx.row(service).ok_or(RefusalReason::UnknownService)
     }
 
     pub(crate) fn refuse(
         &mut self,
         cx: &mut Context<'_>,
         token: Token,
-        reason: Cause,
+        reason: RefusalReason,
         retry_after: Millis,
     ) {
         self.stats.refused += 1;
@@ -241,11 +248,11 @@
                 cx.now - submitted_at,
                 Millis::ZERO,
             );
-            return self.refuse(cx, token, Cause::NoSnapshot, RETRY_AFTER_MS);
+            return self.refuse(cx, token, RefusalReason::NoSnapshot, RETRY_AFTER_MS);
         };
         let query = Query { incarnation: self.options.incarnation, number: self.next_query };
         self.next_query += 1;
-        let sample_interval = self.options.sample;
+        let sample_interval = self.options.log_sample_interval;
         let mut running = RunningQuery {
             query,
             token,
@@ -270,7 +277,7 @@
 
     pub(crate) fn request_all_shards(&mut self, cx: &mut Context<'_>, running: &mut RunningQuery) {
         for index in 0..running.shards.len() {
-            self.stats.leafs += 1;
+            self.stats.first_requests += 1;
             let budgets = self.budgets(cx, running.service);
             budgets.hedge.request();
             budgets.retry.earn();
@@ -294,26 +301,32 @@
             self.cancel_attempts(cx, &mut running, index);
         }
         let row = cx.row(running.service);
-        let took = cx.now - running.submitted_at;
-        self.admission.record_finished(cx.now, running.service, row, took, running.max_queue_wait);
+        let elapsed = cx.now - running.submitted_at;
+        self.admission.record_finished(
+            cx.now,
+            running.service,
+            row,
+            elapsed,
+            running.max_queue_wait,
+        );
         self.tokens.remove(&running.token);
         let coverage = running.coverage();
         let min_coverage = row.map_or(0.0, |r| r.least_coverage_pct / 100.0);
-        let enough = coverage.answered > 0 && coverage.part() >= min_coverage;
-        match (enough, coverage.missing.is_empty()) {
-            (false, _) => self.stats.short += 1,
-            (true, true) => self.stats.whole += 1,
+        let meets_least_coverage = coverage.answered > 0 && coverage.ratio() >= min_coverage;
+        match (meets_least_coverage, coverage.missing.is_empty()) {
+            (false, _) => self.stats.below_least_coverage += 1,
+            (true, true) => self.stats.complete += 1,
             (true, false) => self.stats.partial += 1,
         }
         let (answered, shards) = (coverage.answered, coverage.shards);
-        cx.log_decision(&running, DecisionKind::Finish { answered, shards, took });
+        cx.log_decision(&running, DecisionKind::Finish { answered, shards, took: elapsed });
         let answer = Answer {
             query: running.query,
             snapshot: running.snapshot,
             items: running.items(),
             coverage,
-            enough,
-            took,
+            meets_least_coverage,
+            elapsed,
         };
         cx.out.push(Action::Answer { token: running.token, answer });
     }
--- a/crates/tgw-query/src/step.rs
+++ b/crates/tgw-query/src/event.rs
@@ -34,9 +34,9 @@
     /// The VMs that dispatch to each group.
     pub owners: &'a dyn Owners,
     /// The region and failure domain of this VM.
-    pub here: Place,
+    pub local_place: Place,
     /// Network delays, the base of the latency estimates.
-    pub distance: Distance,
+    pub network_delays: Distance,
 }
 
 /// Input of the entry.
@@ -49,7 +49,7 @@
         /// The service.
         service: Service,
         /// The caller's timeout, applied if shorter than the deadline of the service's row.
-        within: Option<Millis>,
+        timeout: Option<Millis>,
         /// The search itself, opaque to the tier.
         body: Bytes,
     },
@@ -64,18 +64,18 @@
         /// The outcome.
         outcome: Outcome,
         /// The snapshots held in its group, if known.
-        stock: Option<SnapshotCounts>,
+        snapshot_counts: Option<SnapshotCounts>,
         /// Sends beyond the first.
-        extra: u8,
+        extra_sends: u8,
         /// Time in the owner's queue.
-        waited: Millis,
+        queue_wait: Millis,
         /// Queued and in-flight requests of the group as a ratio of its slots.
-        pressure: f32,
+        load_ratio: f32,
     },
     /// A frame arrived from a VM.
-    Heard(Vm),
+    MessageReceived(Vm),
     /// The connection to a VM closed, or membership no longer lists the VM as live.
-    Lost(Vm),
+    Disconnected(Vm),
     /// Periodic tick for deadlines, hedges and unresponsive owners.
     Tick,
 }
@@ -84,7 +84,7 @@
 #[derive(Clone, Debug)]
 pub enum Action {
     /// Send a leaf request to a VM that dispatches it.
-    Ask {
+    Request {
         /// The VM.
         to: Vm,
         /// The replica group.
@@ -116,20 +116,20 @@
         refusal: Refusal,
     },
     /// Log a decision.
-    Note(Note),
+    LogDecision(Decision),
 }
 
 /// A decision about one query.
 #[derive(Clone, Debug)]
-pub struct Note {
+pub struct Decision {
     /// The query.
     pub query: Query,
     /// Its service.
     pub service: Service,
     /// Time left until its deadline.
-    pub left: Millis,
+    pub remaining: Millis,
     /// The kind of decision.
-    pub what: DecisionKind,
+    pub kind: DecisionKind,
 }
 
 /// The kind of a decision about a query.
--- a/crates/tgw-query/src/lib.rs
+++ b/crates/tgw-query/src/lib.rs
@@ -14,14 +14,14 @@
 mod context;
 /// The state machine of all queries of one VM.
 mod entry;
+/// Events, actions and inputs of the entry.
+pub mod event;
 /// Outcomes of leaf requests.
 mod outcome;
 /// State of one running query.
 mod running;
 /// Choice of the snapshot that a query is answered from.
 pub mod snapshot;
-/// Events, actions and inputs of the entry.
-pub mod step;
 /// Time-driven work: deadlines, hedges, unresponsive owners.
 mod timeouts;
 /// Latency, load and snapshots of replica groups, and responsiveness of VMs.
@@ -29,5 +29,5 @@
 
 pub use answer::Answer;
 pub use entry::{Entry, Options, Stats};
-pub use step::{Action, Event, Owners, View};
+pub use event::{Action, Event, Owners, View};
 pub use tracker::Tracker;
--- a/crates/tgw-query/src/outcome.rs
+++ b/crates/tgw-query/src/outcome.rs
@@ -2,9 +2,9 @@
     answer::MissingReason,
     context::Context,
     entry::Entry,
+    event::{Action, AttemptReason, DecisionKind},
     running::{RunningQuery, ShardStatus},
     snapshot,
-    step::{Action, AttemptReason, DecisionKind},
 };
 use tgw_clock::Millis;
 use tgw_dispatch::leaf::{Key, Outcome, SnapshotCounts};
@@ -31,20 +31,20 @@
         from: Vm,
         key: Key,
         outcome: Outcome,
-        stock: Option<SnapshotCounts>,
+        snapshot_counts: Option<SnapshotCounts>,
         report: OwnerReport,
     ) {
         let Some(mut running) = self.running.remove(&key.query) else {
-            self.stats.late += 1;
+            self.stats.late_outcomes += 1;
             return;
         };
         if let Some(index) = self.match_attempt(cx, &mut running, from, key, &outcome, report) {
             let attempt = running.shards[index].attempts.iter().find(|a| a.number == key.attempt);
-            if let (Some(stock), Some(attempt)) = (stock, attempt) {
-                self.tracker.record_snapshots(cx.now, attempt.group, stock);
+            if let (Some(snapshot_counts), Some(attempt)) = (snapshot_counts, attempt) {
+                self.tracker.record_snapshots(cx.now, attempt.group, snapshot_counts);
             }
             running.max_queue_wait = running.max_queue_wait.max(report.queue_wait);
-            self.stats.extra_owner += u64::from(report.extra_sends);
+            self.stats.extra_sends += u64::from(report.extra_sends);
             self.budgets(cx, running.service).owner_extra_sends.add(f64::from(report.extra_sends));
             self.apply_outcome(cx, &mut running, index, key, outcome);
         }
@@ -71,11 +71,11 @@
         // numbers are unique over restarts of the query, and the VM must be the one that was sent
         // the attempt.
         let Some(attempt) = attempt.filter(|a| a.to == from && key.from == self.options.vm) else {
-            self.stats.crossed += 1;
+            self.stats.unmatched_outcomes += 1;
             return None;
         };
         if !std::mem::replace(&mut attempt.in_flight, false) {
-            self.stats.late += 1;
+            self.stats.late_outcomes += 1;
             return None;
         }
         let has_items = matches!(outcome, Outcome::Items(_));
@@ -83,7 +83,7 @@
         self.tracker.record_attempt_end(cx.now, attempt.group, from, attempt.sent_at);
         self.tracker.record_outcome(cx.now, attempt.group, latency, report.load_ratio);
         if !running.shards[index].is_open() {
-            self.stats.late += 1;
+            self.stats.late_outcomes += 1;
             return None;
         }
         Some(index)
--- a/crates/tgw-query/src/timeouts.rs
+++ b/crates/tgw-query/src/timeouts.rs
@@ -1,9 +1,9 @@
 use crate::{
-    answer::{Cause, MissingReason},
+    answer::{MissingReason, RefusalReason},
     context::Context,
     entry::{Entry, RETRY_AFTER_MS},
+    event::AttemptReason,
     running::RunningQuery,
-    step::AttemptReason,
 };
 use tgw_clock::Millis;
 use tgw_topology::{Query, Shard, Vm};
@@ -12,13 +12,13 @@
     pub(crate) fn tick(&mut self, cx: &mut Context<'_>) {
         for token in self.admission.take_expired(cx.now) {
             self.queued.remove(&token);
-            self.refuse(cx, token, Cause::Deadline, RETRY_AFTER_MS);
+            self.refuse(cx, token, RefusalReason::Deadline, RETRY_AFTER_MS);
         }
         for vm in self.tracker.detect_unresponsive(cx.now, cx.view) {
             self.reassign_attempts(cx, vm);
         }
         self.finish_expired(cx);
-        if self.options.hedge {
+        if self.options.hedge_across_groups {
             self.hedge_late(cx);
         }
     }
--- a/crates/tgw-query/src/tracker.rs
+++ b/crates/tgw-query/src/tracker.rs
@@ -1,4 +1,4 @@
-use crate::{snapshot::CachedChoice, step::View};
+use crate::{event::View, snapshot::CachedChoice};
 use std::collections::BTreeMap;
 use tgw_clock::Millis;
 use tgw_dispatch::leaf::{HeldSnapshots, SnapshotCounts};
@@ -133,8 +133,9 @@
 
     /// Expected time until an answer from a group, in milliseconds.
     pub(crate) fn estimate_ms(&self, now: Millis, group: Group, view: &View<'_>) -> f64 {
-        let place = view.index.get(group).map_or(view.here, |m| m.place);
-        let base_ms = 2.0 * view.distance.between(view.here, place) + INITIAL_SERVICE_TIME_MS;
+        let place = view.index.get(group).map_or(view.local_place, |m| m.place);
+        let base_ms =
+            2.0 * view.network_delays.between(view.local_place, place) + INITIAL_SERVICE_TIME_MS;
         let Some(group_state) = self.groups.get(&group) else { return base_ms };
         let age_ms = (now - group_state.updated_at).as_f64();
         let latency_ms =
@@ -223,8 +224,9 @@
     pub(crate) fn detect_unresponsive(&mut self, now: Millis, view: &View<'_>) -> Vec<Vm> {
         let mut unresponsive = Vec::new();
         for (vm, vm_state) in &mut self.vms {
-            let place = view.owners.place(*vm).unwrap_or(view.here);
-            let round_trip = Millis::from_f64(2.0 * view.distance.between(view.here, place));
+            let place = view.owners.place(*vm).unwrap_or(view.local_place);
+            let round_trip =
+                Millis::from_f64(2.0 * view.network_delays.between(view.local_place, place));
             let quiet_for = now - vm_state.last_message_at.max(vm_state.awaiting_since);
             if !vm_state.unresponsive
                 && vm_state.in_flight > 0
--- a/crates/tgw-query/tests/query.rs
+++ b/crates/tgw-query/tests/query.rs
@@ -9,7 +9,7 @@
 use tgw_clock::Millis;
 use tgw_query::{
     admission::{Controller, Verdict},
-    answer::Cause,
+    answer::RefusalReason,
 };
 use tgw_table::Row;
 use tgw_topology::Service;
@@ -37,8 +37,8 @@
         complete += simulation.complete;
         partial += simulation.partial;
         restarts += stats.restarts;
-        late += stats.late;
-        crossed += stats.crossed;
+        late += stats.late_outcomes;
+        crossed += stats.unmatched_outcomes;
     }
     // The schedules must have included enough of these events, or the test proves nothing.
     assert!(complete > 1000 && partial > 100, "{complete} complete, {partial} partial");
@@ -104,7 +104,10 @@
     };
     assert_eq!(admit(&mut controller, 1), Verdict::Admitted);
     assert_eq!(admit(&mut controller, 2), Verdict::Queued);
-    assert!(matches!(admit(&mut controller, 3), Verdict::Refused { cause: Cause::Busy, .. }));
+    assert!(matches!(
+        admit(&mut controller, 3),
+        Verdict::Refused { cause: RefusalReason::Busy, .. }
+    ));
 }
 
 // A caller would otherwise wait until its deadline for a query that could never run in time.
@@ -118,7 +121,10 @@
     };
     assert_eq!(admit(&mut controller, 1), Verdict::Admitted);
     assert_eq!(admit(&mut controller, 2), Verdict::Queued);
-    assert!(matches!(admit(&mut controller, 3), Verdict::Refused { cause: Cause::Busy, .. }));
+    assert!(matches!(
+        admit(&mut controller, 3),
+        Verdict::Refused { cause: RefusalReason::Busy, .. }
+    ));
 }
 
 // A busy service would otherwise occupy the whole capacity of a VM and leave none to a light one
--- a/crates/tgw-query/tests/simulation/mod.rs
+++ b/crates/tgw-query/tests/simulation/mod.rs
@@ -114,10 +114,10 @@
             entry: Entry::new(Options {
                 vm: LOCAL_VM,
                 incarnation: seed,
-                places: 64,
-                adapt: true,
-                sample: 0,
-                hedge: true,
+                max_running: 64,
+                adaptive_limits: true,
+                log_sample_interval: 0,
+                hedge_across_groups: true,
             }),
             now: Millis::new(1),
             catalog: catalog(),
@@ -146,7 +146,7 @@
             76..84 => self.change_snapshots(),
             84..85 => {
                 let vm = Vm(10 + self.rng.random_range(0..3));
-                self.handle_event(Event::Lost(vm));
+                self.handle_event(Event::Disconnected(vm));
             }
             85..86 => {
                 if let Some(token) = self.open_tokens.pop_first() {
@@ -171,7 +171,7 @@
         let body = Bytes::from(format!("q{token}"));
         self.query_bodies.insert(token, body.clone());
         self.open_tokens.insert(token);
-        self.handle_event(Event::Submit { token, service: SERVICE, within: None, body });
+        self.handle_event(Event::Submit { token, service: SERVICE, timeout: None, body });
     }
 
     /// Delivers a random outcome of a random request.
@@ -190,16 +190,16 @@
             _ if !held.contains(&leaf.snapshot) => Outcome::Gone,
             _ => Outcome::Items(tagged_items(&leaf.body, leaf.snapshot, leaf.key.shard.0)),
         };
-        let stock: SnapshotCounts = held.iter().map(|s| (*s, 1)).collect();
-        let stock = self.rng.random_bool(0.7).then_some(stock);
+        let snapshot_counts: SnapshotCounts = held.iter().map(|s| (*s, 1)).collect();
+        let snapshot_counts = self.rng.random_bool(0.7).then_some(snapshot_counts);
         let event = Event::Outcome {
             from: to,
             key: leaf.key,
             outcome,
-            stock,
-            extra: 0,
-            waited: Millis::ZERO,
-            pressure: 0.1,
+            snapshot_counts,
+            extra_sends: 0,
+            queue_wait: Millis::ZERO,
+            load_ratio: 0.1,
         };
         self.past_outcomes.push(event.clone());
         self.handle_event(event);
@@ -224,10 +224,10 @@
             from,
             key: leaf.key,
             outcome,
-            stock: None,
-            extra: 0,
-            waited: Millis::ZERO,
-            pressure: 0.0,
+            snapshot_counts: None,
+            extra_sends: 0,
+            queue_wait: Millis::ZERO,
+            load_ratio: 0.0,
         });
     }
 
@@ -326,10 +326,10 @@
             index: &index,
             table: Some(&self.table),
             owners: &StaticOwners,
-            here: place(0),
-            distance: Distance { local: 0.1, domains: 1.0, regions: 10.0 },
+            local_place: place(0),
+            network_delays: Distance { local: 0.1, domains: 1.0, regions: 10.0 },
         };
-        self.entry.on(self.now, event, &view, &mut out);
+        self.entry.handle(self.now, event, &view, &mut out);
         for action in out {
             self.apply_action(action);
         }
@@ -337,7 +337,9 @@
 
     fn apply_action(&mut self, action: Action) {
         match action {
-            Action::Ask { to, group, leaf, .. } => self.requests.push(Request { to, group, leaf }),
+            Action::Request { to, group, leaf, .. } => {
+                self.requests.push(Request { to, group, leaf });
+            }
             Action::Cancel { key, .. } => {
                 // A cancellation may arrive too late, so the outcome may still be delivered.
                 if self.rng.random_bool(0.5) {
@@ -355,7 +357,7 @@
                 assert!(!sent, "seed {}: refused as not run, but sent", self.seed);
                 self.refused += 1;
             }
-            Action::Note(_) => {}
+            Action::LogDecision(_) => {}
         }
     }
 
--- a/crates/tgw-replay/src/render.rs
+++ b/crates/tgw-replay/src/render.rs
@@ -18,7 +18,7 @@
                 answer.coverage.answered,
                 answer.coverage.shards,
                 missing.join(" "),
-                answer.took
+                answer.elapsed
             )
         }
         Output::Refuse(token, refusal) => {
@@ -59,7 +59,7 @@
 
 fn render_note(note: &Note) -> String {
     match note {
-        Note::Entry(note) => format!("note {} {}", note.query, note.what),
+        Note::Entry(note) => format!("note {} {}", note.query, note.kind),
         Note::Dispatch(note) => {
             let key = note.key.map(|k| k.to_string()).unwrap_or_default();
             format!("note {key} {} {} passed {:?}", note.kind, note.upstream, note.skipped)
--- a/crates/tgw-serve/src/callers.rs
+++ b/crates/tgw-serve/src/callers.rs
@@ -21,7 +21,7 @@
 use tgw_order::Outcome;
 use tgw_query::{
     Answer,
-    answer::{Cause, Refusal},
+    answer::{Refusal, RefusalReason},
 };
 use tgw_ring::Sender;
 use tokio::sync::oneshot;
@@ -76,7 +76,7 @@
     let search = Search { service: service.clone(), within, label: label.clone(), body, reply };
     if callers.core.push(Work::Search(search)).is_err() {
         // The ring to the core is full: nothing was sent for this query, so saying so is true.
-        let refusal = Refusal { reason: Cause::Busy, retry_after: RING_FULL_RETRY };
+        let refusal = Refusal { reason: RefusalReason::Busy, retry_after: RING_FULL_RETRY };
         return refuse(&callers, &service, &refusal);
     }
     match said.await {
@@ -107,7 +107,7 @@
     let now_s = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
     let order = Order { service: service.clone(), key, now_s, within, body, reply };
     if callers.core.push(Work::Order(order)).is_err() {
-        let refusal = Refusal { reason: Cause::Busy, retry_after: RING_FULL_RETRY };
+        let refusal = Refusal { reason: RefusalReason::Busy, retry_after: RING_FULL_RETRY };
         return refuse(&callers, &service, &refusal);
     }
     match said.await {
@@ -219,11 +219,12 @@
 fn refuse(callers: &Callers, service: &str, refusal: &Refusal) -> Response {
     callers.metrics.refuse(service, &refusal.reason.to_string());
     let status = match refusal.reason {
-        Cause::UnknownService | Cause::NoOrders => StatusCode::NOT_FOUND,
-        Cause::Busy => StatusCode::TOO_MANY_REQUESTS,
-        Cause::NotReady | Cause::Deadline | Cause::Draining | Cause::NoSnapshot => {
-            StatusCode::SERVICE_UNAVAILABLE
-        }
+        RefusalReason::UnknownService | RefusalReason::NoOrders => StatusCode::NOT_FOUND,
+        RefusalReason::Busy => StatusCode::TOO_MANY_REQUESTS,
+        RefusalReason::NotReady
+        | RefusalReason::Deadline
+        | RefusalReason::Draining
+        | RefusalReason::NoSnapshot => StatusCode::SERVICE_UNAVAILABLE,
     };
     let after = refusal.retry_after.whole();
     let reason = refusal.reason.to_string();
@@ -236,9 +237,10 @@
 
 fn answered(callers: &Callers, service: &str, answer: &Answer, label: Option<&str>) -> Response {
     let labels = [KeyValue::new("service", service.to_owned())];
-    callers.metrics.took.record(answer.took.as_f64(), &labels);
-    callers.metrics.coverage.record(answer.coverage.part(), &labels);
-    let status = if answer.enough { StatusCode::OK } else { StatusCode::GATEWAY_TIMEOUT };
+    callers.metrics.took.record(answer.elapsed.as_f64(), &labels);
+    callers.metrics.coverage.record(answer.coverage.ratio(), &labels);
+    let status =
+        if answer.meets_least_coverage { StatusCode::OK } else { StatusCode::GATEWAY_TIMEOUT };
     let json = HeaderValue::from_static("application/json");
     (status, [(header::CONTENT_TYPE, json)], body(answer, label)).into_response()
 }
@@ -260,9 +262,9 @@
             "answered": answer.coverage.answered,
             "missing": missing,
         },
-        "took_ms": (answer.took.as_f64() * 1000.0).round() / 1000.0,
+        "took_ms": (answer.elapsed.as_f64() * 1000.0).round() / 1000.0,
     });
-    if !answer.enough {
+    if !answer.meets_least_coverage {
         head["outcome"] = json!("short");
         head["reason"] = json!("least_coverage");
     }
--- a/crates/tgw-serve/src/log.rs
+++ b/crates/tgw-serve/src/log.rs
@@ -59,10 +59,10 @@
         match note {
             Note::Entry(note) => {
                 let query = note.query.to_string();
-                let (service, left) = (note.service, note.left.as_f64());
-                tracing::info!(target: "tgw::decision", %query, %service, left_ms = left,
-                    decision = %note.what);
-                let text = format!("{} ({left:.1} ms left)", note.what);
+                let (service, remaining) = (note.service, note.remaining.as_f64());
+                tracing::info!(target: "tgw::decision", %query, %service, left_ms = remaining,
+                    decision = %note.kind);
+                let text = format!("{} ({remaining:.1} ms left)", note.kind);
                 self.keep(now, &query, "entry", text);
             }
             Note::Dispatch(note) => {
--- a/crates/tgw-serve/src/queries.rs
+++ b/crates/tgw-serve/src/queries.rs
@@ -13,7 +13,7 @@
 use tgw_node::{Input, Intake, Message, Node, Output};
 use tgw_order::Key;
 use tgw_peer::{Outgoing, Parcel};
-use tgw_query::answer::{Cause, Refusal};
+use tgw_query::answer::{Refusal, RefusalReason};
 use tgw_ring::{Receiver, Sender};
 use tgw_topology::{Upstream, Vm, place::Domain};
 use tokio::{
@@ -171,7 +171,8 @@
         let Search { service, within, label, body, reply } = search;
         let Some(id) = self.node.catalog().service(&service).map(|s| s.id) else {
             let known = !self.node.catalog().services.is_empty();
-            let reason = if known { Cause::UnknownService } else { Cause::NotReady };
+            let reason =
+                if known { RefusalReason::UnknownService } else { RefusalReason::NotReady };
             let _ = reply.send(Said::Refusal(Refusal { reason, retry_after: RETRY }));
             return;
         };
@@ -185,7 +186,8 @@
         let Order { service, key, now_s, within, body, reply } = order;
         let Some(id) = self.node.catalog().service(&service).map(|s| s.id) else {
             let known = !self.node.catalog().services.is_empty();
-            let reason = if known { Cause::UnknownService } else { Cause::NotReady };
+            let reason =
+                if known { RefusalReason::UnknownService } else { RefusalReason::NotReady };
             let _ = reply.send(Said::Refusal(Refusal { reason, retry_after: RETRY }));
             return;
         };
@@ -316,11 +318,11 @@
         gauges.ready.store(self.ready(), Ordering::Relaxed);
         set(&gauges.edit, self.node.table().map_or(0, |t| t.edit));
         set(&gauges.running, self.node.entry().pending() as u64);
-        set(&gauges.leafs, stats.leafs);
-        set(&gauges.extra_entry, stats.extra);
-        set(&gauges.extra_owner, stats.extra_owner);
-        set(&gauges.late, stats.late);
-        set(&gauges.crossed, stats.crossed);
+        set(&gauges.leafs, stats.first_requests);
+        set(&gauges.extra_entry, stats.extra_requests);
+        set(&gauges.extra_owner, stats.extra_sends);
+        set(&gauges.late, stats.late_outcomes);
+        set(&gauges.crossed, stats.unmatched_outcomes);
         set(&gauges.restarts, stats.restarts);
         set(&gauges.members, self.node.directory().owners().count() as u64);
         set(&gauges.ring_core, self.depth.len() as u64);
@@ -362,15 +364,15 @@
             domains: domains.collect(),
             upstreams: self.upstream_lines(now),
             counters: Counters {
-                leafs: stats.leafs,
-                extra_entry: stats.extra,
-                extra_owner: stats.extra_owner,
-                late: stats.late,
-                crossed: stats.crossed,
+                leafs: stats.first_requests,
+                extra_entry: stats.extra_requests,
+                extra_owner: stats.extra_sends,
+                late: stats.late_outcomes,
+                crossed: stats.unmatched_outcomes,
                 restarts: stats.restarts,
-                whole: stats.whole,
+                whole: stats.complete,
                 partial: stats.partial,
-                short: stats.short,
+                short: stats.below_least_coverage,
                 refused: stats.refused,
             },
         }
