--- a/crates/tgw-demo/src/load.rs
+++ b/crates/tgw-demo/src/load.rs
@@ -128,7 +128,7 @@
     async fn run(self, entry: SocketAddr, twice: Option<SocketAddr>, result: Rc<RefCell<Result>>) {
         let now_s = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
         let text = format!("{now_s}-{}-{}", self.load.seed, self.number);
-        let Ok(key) = Key::read(self.service, &text, now_s) else { return };
+        let Ok(key) = Key::parse(self.service, &text, now_s) else { return };
         let first = self.send(entry, &text);
         let outcomes = match twice {
             Some(other) => {
@@ -139,7 +139,7 @@
         };
         let mut result = result.borrow_mut();
         for outcome in outcomes {
-            result.orders.push(Placed { name: key.name(), outcome });
+            result.orders.push(Placed { name: key.claim_name(), outcome });
         }
     }
 
--- a/crates/tgw-node/src/orders.rs
+++ b/crates/tgw-node/src/orders.rs
@@ -149,7 +149,7 @@
                 Action::Run(key, deadline) => {
                     effects.push(Effect::Run(Run { key, deadline, tried: SmallVec::new() }));
                 }
-                Action::Tell(waiter, outcome) => {
+                Action::Answer(waiter, outcome) => {
                     if let Some((vm, number)) = self.waiters.remove(&waiter) {
                         effects.push(Effect::Send(vm, Message::Ordered(number, outcome)));
                     }
@@ -187,7 +187,7 @@
             patience: None,
             body: self.bodies.get(&key).cloned().unwrap_or_default(),
             traced: true,
-            work: Operation::Order(key.name()),
+            work: Operation::Order(key.claim_name()),
         };
         self.sent.insert(number, Sent { key, to: vm, deadline, tried });
         vec![Effect::Send(vm, Message::Ask(ask))]
--- a/crates/tgw-node/tests/node.rs
+++ b/crates/tgw-node/tests/node.rs
@@ -29,7 +29,8 @@
         traced: true,
         work,
     };
-    let order_key = tgw_order::Key::read(Service(1), "1800000000-a", 1_800_000_000).expect("valid");
+    let order_key =
+        tgw_order::Key::parse(Service(1), "1800000000-a", 1_800_000_000).expect("valid");
     let order = Order {
         number: 1,
         key: order_key,
--- a/crates/tgw-order/src/claims.rs
+++ b/crates/tgw-order/src/claims.rs
@@ -24,7 +24,7 @@
 
 /// Result of a write to the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Stored {
+pub enum WriteOutcome {
     /// It took effect; the object's new version.
     Done(Version),
     /// The object was not at the expected version; nothing was written.
@@ -64,9 +64,11 @@
         no_earlier_request: bool,
     },
     /// A write of the named object ended.
-    Stored(String, Stored),
+    #[serde(rename = "Stored")]
+    WriteDone(String, WriteOutcome),
     /// A read of the named object ended; `Err` if the store did not answer.
-    Read(String, Result<Option<(Version, Ledger)>, ()>),
+    #[serde(rename = "Read")]
+    ReadDone(String, Result<Option<(Version, Ledger)>, ()>),
     /// An attempt to run an order ended.
     #[serde(rename = "Ran")]
     RunDone(Key, RunOutcome),
@@ -84,7 +86,7 @@
     /// Send an order to an upstream, once, and not after the deadline.
     Run(Key, Millis),
     /// Answer a waiting request.
-    Tell(Waiter, Outcome),
+    Answer(Waiter, Outcome),
     /// Delete an object whose claims have expired.
     Expire(String),
 }
@@ -133,8 +135,8 @@
                 let order = Order { key, stage: Stage::Unclaimed, deadline, waiters };
                 self.request(now, order, out);
             }
-            Event::Stored(object, stored) => self.write_done(now, &object, &stored, out),
-            Event::Read(object, read) => self.read_done(now, &object, read, out),
+            Event::WriteDone(object, outcome) => self.write_done(now, &object, &outcome, out),
+            Event::ReadDone(object, read) => self.read_done(now, &object, read, out),
             Event::RunDone(key, ran) => self.run_done(now, key, ran, out),
             Event::Tick => self.tick(now, out),
         }
@@ -142,11 +144,11 @@
 
     fn request(&mut self, now: Millis, mut order: Order, out: &mut Vec<Action>) {
         self.stats.requests += 1;
-        let (name, object) = (order.key.name(), order.key.object_name());
+        let (name, object) = (order.key.claim_name(), order.key.object_name());
         let state = self.objects.entry(object.clone()).or_insert_with(|| State::new(now));
         state.last_used = now;
         if let Some(outcome) = state.outcome(&name) {
-            out.extend(order.waiters.iter().map(|w| Action::Tell(w.waiter, outcome.clone())));
+            out.extend(order.waiters.iter().map(|w| Action::Answer(w.waiter, outcome.clone())));
             return;
         }
         if let Some(known) = state.orders.get_mut(&name) {
@@ -186,12 +188,18 @@
         }
     }
 
-    fn write_done(&mut self, now: Millis, object: &str, stored: &Stored, out: &mut Vec<Action>) {
+    fn write_done(
+        &mut self,
+        now: Millis,
+        object: &str,
+        outcome: &WriteOutcome,
+        out: &mut Vec<Action>,
+    ) {
         let Some(state) = self.objects.get_mut(object) else { return };
         let Call::Writing(written) = std::mem::replace(&mut state.call, Call::None) else { return };
         state.next_call_at = now + WRITE_INTERVAL_MS;
-        match *stored {
-            Stored::Done(version) => {
+        match *outcome {
+            WriteOutcome::Done(version) => {
                 if state.known.as_ref().is_some_and(|(before, _)| *before == 0) {
                     out.extend(crate::key::expired_objects(object).map(Action::Expire));
                 }
@@ -199,12 +207,12 @@
                 self.reconcile(now, object, false, out);
             }
             // Another worker wrote first: orders that it claimed must not be run here.
-            Stored::Conflict => {
+            WriteOutcome::Conflict => {
                 state.known = None;
                 state.next_call_at = now;
                 self.advance(now, object, out);
             }
-            Stored::Unavailable => {
+            WriteOutcome::Unavailable => {
                 state.reset_claiming();
                 state.next_call_at = now + STORE_BACKOFF_MS;
             }
@@ -212,7 +220,7 @@
             // run an order that another worker claimed, so the object is read. If the write is still
             // in flight, it cannot take effect unnoticed: the next write expects the version that
             // was read, and the store accepts only one of two writes from the same version.
-            Stored::Unknown => {
+            WriteOutcome::Unknown => {
                 state.known = None;
                 state.next_call_at = now;
                 self.advance(now, object, out);
@@ -303,7 +311,7 @@
     fn run_done(&mut self, now: Millis, key: Key, ran: RunOutcome, out: &mut Vec<Action>) {
         let object = key.object_name();
         let Some(state) = self.objects.get_mut(&object) else { return };
-        let name = key.name();
+        let name = key.claim_name();
         if !state.orders.get(&name).is_some_and(|o| o.stage == Stage::Running) {
             return;
         }
@@ -357,7 +365,7 @@
             for Waiting { waiter, no_earlier_run } in order.waiters {
                 let certain = stage != Stage::ClaimedElsewhere && no_earlier_run;
                 let outcome = if certain { Outcome::NotRun { reason } } else { Outcome::Unknown };
-                out.push(Action::Tell(waiter, outcome));
+                out.push(Action::Answer(waiter, outcome));
             }
         }
     }
--- a/crates/tgw-order/src/key.rs
+++ b/crates/tgw-order/src/key.rs
@@ -47,7 +47,7 @@
 
 impl Key {
     /// Parses a key and checks its age at Unix time `now_s`.
-    pub fn read(service: Service, text: &str, now_s: u64) -> Result<Self, Error> {
+    pub fn parse(service: Service, text: &str, now_s: u64) -> Result<Self, Error> {
         let printable = text.len() <= MAX_KEY_BYTES && text.chars().all(|c| c.is_ascii_graphic());
         let (seconds, rest) = text.split_once('-').ok_or(Error::Malformed)?;
         let made_s: u64 = seconds.parse().map_err(|_| Error::Malformed)?;
@@ -75,7 +75,7 @@
     }
 
     /// The name of the claim within its object, also sent to upstreams as the order's key.
-    pub fn name(&self) -> String {
+    pub fn claim_name(&self) -> String {
         format!("{}-{:032x}", self.service.0, self.hash)
     }
 }
--- a/crates/tgw-order/src/lib.rs
+++ b/crates/tgw-order/src/lib.rs
@@ -16,6 +16,6 @@
 /// The worker's state for one stored object of claims.
 mod object;
 
-pub use claims::{Action, Event, RunOutcome, Stats, Stored, Waiter, Worker};
+pub use claims::{Action, Event, RunOutcome, Stats, Waiter, Worker, WriteOutcome};
 pub use key::Key;
 pub use ledger::{Ledger, Outcome};
--- a/crates/tgw-order/src/object.rs
+++ b/crates/tgw-order/src/object.rs
@@ -161,7 +161,7 @@
     pub(crate) fn answer_waiters(&mut self, name: &str, outcome: &Outcome, out: &mut Vec<Action>) {
         if let Some(order) = self.orders.remove(name) {
             for Waiting { waiter, .. } in order.waiters {
-                out.push(Action::Tell(waiter, outcome.clone()));
+                out.push(Action::Answer(waiter, outcome.clone()));
             }
         }
     }
--- a/crates/tgw-order/tests/interleavings/mod.rs
+++ b/crates/tgw-order/tests/interleavings/mod.rs
@@ -4,7 +4,7 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use std::collections::{BTreeMap, BTreeSet};
 use tgw_clock::Millis;
-use tgw_order::{Action, Event, Key, Ledger, Outcome, RunOutcome, Stored, Worker};
+use tgw_order::{Action, Event, Key, Ledger, Outcome, RunOutcome, Worker, WriteOutcome};
 use tgw_topology::Service;
 
 const KEYS: usize = 3;
@@ -128,7 +128,7 @@
     fn ask(&mut self) {
         let number = self.rng.random_range(0..KEYS);
         let text = format!("{NOW_S}-{}-{number}", self.seed);
-        let key = Key::read(Service(0), &text, NOW_S).expect("a valid key");
+        let key = Key::parse(Service(0), &text, NOW_S).expect("a valid key");
         let instance = self.rng.random_range(0..self.instances.len());
         let waiter = self.requests.len() as u64;
         let made = self.log.len();
@@ -172,7 +172,7 @@
                 self.runs.push((key, self.log.len()));
                 self.running.push((instance, incarnation, key));
             }
-            Action::Tell(waiter, outcome) => {
+            Action::Answer(waiter, outcome) => {
                 self.log.push(format!("{} tell {waiter} {outcome:?}", self.now));
                 let request = &mut self.requests[waiter as usize];
                 assert!(request.outcome.is_none(), "seed {}: answered twice", self.seed);
@@ -197,18 +197,18 @@
             Action::Get(object) => {
                 let read = self.store.get(object).cloned();
                 let failed = self.down || lost;
-                Event::Read(object.clone(), if failed { Err(()) } else { Ok(read) })
+                Event::ReadDone(object.clone(), if failed { Err(()) } else { Ok(read) })
             }
             Action::Put(object, _, _) if late => {
-                let event = Event::Stored(object.clone(), Stored::Unknown);
+                let event = Event::WriteDone(object.clone(), WriteOutcome::Unknown);
                 // No incarnation matches this, so its reply is dropped.
                 self.calls.push(Call { instance, incarnation: u64::MAX, action: action.clone() });
                 event
             }
             Action::Put(object, expected, ledger) => {
-                let stored = self.put(object, *expected, ledger);
-                let stored = if lost && !self.down { Stored::Unknown } else { stored };
-                Event::Stored(object.clone(), stored)
+                let outcome = self.put(object, *expected, ledger);
+                let outcome = if lost && !self.down { WriteOutcome::Unknown } else { outcome };
+                Event::WriteDone(object.clone(), outcome)
             }
             _ => return,
         };
@@ -217,17 +217,17 @@
         }
     }
 
-    fn put(&mut self, object: &str, expected: u64, ledger: &Ledger) -> Stored {
+    fn put(&mut self, object: &str, expected: u64, ledger: &Ledger) -> WriteOutcome {
         if self.down {
-            return Stored::Unavailable;
+            return WriteOutcome::Unavailable;
         }
         let current = self.store.get(object).map_or(0, |(version, _)| *version);
         if current != expected {
-            return Stored::Conflict;
+            return WriteOutcome::Conflict;
         }
         self.version += 1;
         self.store.insert(object.into(), (self.version, ledger.clone()));
-        Stored::Done(self.version)
+        WriteOutcome::Done(self.version)
     }
 
     fn end_run(&mut self) {
--- a/crates/tgw-order/tests/orders.rs
+++ b/crates/tgw-order/tests/orders.rs
@@ -9,7 +9,7 @@
 use test_case::test_case;
 use tgw_clock::Millis;
 use tgw_order::{
-    Action, Event, Key, Ledger, Outcome, RunOutcome, Stored, Worker,
+    Action, Event, Key, Ledger, Outcome, RunOutcome, Worker, WriteOutcome,
     key::{self, Error},
     ledger::{Claim, Reason},
 };
@@ -18,7 +18,7 @@
 const NOW_S: u64 = 1_800_000_000;
 
 fn key(text: &str) -> Key {
-    Key::read(Service(3), &format!("{NOW_S}-{text}"), NOW_S).expect("a valid key")
+    Key::parse(Service(3), &format!("{NOW_S}-{text}"), NOW_S).expect("a valid key")
 }
 
 fn ms(ms: u64) -> Millis {
@@ -35,7 +35,7 @@
     );
     assert_eq!(out, [Action::Get(key.object_name())]);
     out.clear();
-    worker.handle(ms(1), Event::Read(key.object_name(), Ok(None)), &mut out);
+    worker.handle(ms(1), Event::ReadDone(key.object_name(), Ok(None)), &mut out);
     match out.pop() {
         Some(Action::Put(_, 0, ledger)) => ledger,
         other => panic!("expected the first write of the object, got {other:?}"),
@@ -47,11 +47,11 @@
     let (mut worker, key) = (Worker::new(7), key("a"));
     until_write(&mut worker, key);
     let mut out = Vec::new();
-    worker.handle(ms(2), Event::Stored(key.object_name(), Stored::Done(5)), &mut out);
+    worker.handle(ms(2), Event::WriteDone(key.object_name(), WriteOutcome::Done(5)), &mut out);
     assert!(out.contains(&Action::Run(key, ms(1000))), "{out:?}");
     out.clear();
     worker.handle(ms(3), Event::RunDone(key, RunOutcome::Done("r".into())), &mut out);
-    assert!(out.contains(&Action::Tell(1, Outcome::Ran { result: "r".into() })), "{out:?}");
+    assert!(out.contains(&Action::Answer(1, Outcome::Ran { result: "r".into() })), "{out:?}");
 }
 
 // Guards against an order that runs twice: the claim was written, the reply was lost, and the caller's
@@ -61,7 +61,7 @@
     let (mut first, mut second, key) = (Worker::new(1), Worker::new(2), key("b"));
     let written = until_write(&mut first, key);
     let mut out = Vec::new();
-    first.handle(ms(2), Event::Stored(key.object_name(), Stored::Unknown), &mut out);
+    first.handle(ms(2), Event::WriteDone(key.object_name(), WriteOutcome::Unknown), &mut out);
     assert_eq!(
         out,
         [Action::Get(key.object_name())],
@@ -73,10 +73,14 @@
         Event::Request { key, waiter: 9, deadline: ms(500), no_earlier_request: false },
         &mut out,
     );
-    second.handle(ms(4), Event::Read(key.object_name(), Ok(Some((1, written.clone())))), &mut out);
+    second.handle(
+        ms(4),
+        Event::ReadDone(key.object_name(), Ok(Some((1, written.clone())))),
+        &mut out,
+    );
     assert!(!out.iter().any(|a| matches!(a, Action::Run(..))), "{out:?}");
     out.clear();
-    first.handle(ms(5), Event::Read(key.object_name(), Ok(Some((1, written)))), &mut out);
+    first.handle(ms(5), Event::ReadDone(key.object_name(), Ok(Some((1, written)))), &mut out);
     assert!(out.contains(&Action::Run(key, ms(1000))), "{out:?}");
 }
 
@@ -87,10 +91,10 @@
     let (mut worker, key) = (Worker::new(7), key("c"));
     until_write(&mut worker, key);
     let mut out = Vec::new();
-    worker.handle(ms(60_000), Event::Stored(key.object_name(), Stored::Done(5)), &mut out);
+    worker.handle(ms(60_000), Event::WriteDone(key.object_name(), WriteOutcome::Done(5)), &mut out);
     assert!(!out.iter().any(|a| matches!(a, Action::Run(..))), "{out:?}");
     let not_run = Outcome::NotRun { reason: Reason::Deadline };
-    assert!(out.contains(&Action::Tell(1, not_run)), "{out:?}");
+    assert!(out.contains(&Action::Answer(1, not_run)), "{out:?}");
 }
 
 // Guards against an order that is sent after the answer "not run": the deadline passed while the write of
@@ -101,16 +105,16 @@
     let written = until_write(&mut worker, key);
     let mut out = Vec::new();
     worker.handle(ms(1001), Event::Tick, &mut out);
-    assert!(matches!(out[0], Action::Tell(1, Outcome::NotRun { .. })), "{out:?}");
+    assert!(matches!(out[0], Action::Answer(1, Outcome::NotRun { .. })), "{out:?}");
     out.clear();
-    worker.handle(ms(1200), Event::Stored(key.object_name(), Stored::Unknown), &mut out);
-    worker.handle(ms(1300), Event::Read(key.object_name(), Ok(Some((1, written)))), &mut out);
+    worker.handle(ms(1200), Event::WriteDone(key.object_name(), WriteOutcome::Unknown), &mut out);
+    worker.handle(ms(1300), Event::ReadDone(key.object_name(), Ok(Some((1, written)))), &mut out);
     worker.handle(ms(2000), Event::Tick, &mut out);
     assert!(!out.iter().any(|a| matches!(a, Action::Run(..))), "{out:?}");
     out.clear();
     let again = Event::Request { key, waiter: 2, deadline: ms(3000), no_earlier_request: true };
     worker.handle(ms(2001), again, &mut out);
-    assert!(matches!(out[0], Action::Tell(2, Outcome::NotRun { .. })), "{out:?}");
+    assert!(matches!(out[0], Action::Answer(2, Outcome::NotRun { .. })), "{out:?}");
 }
 
 // Guards against a false "not run": the order ran at a VM that died before it answered, and the caller
@@ -124,9 +128,9 @@
         Event::Request { key, waiter: 1, deadline: ms(300), no_earlier_request: false },
         &mut out,
     );
-    worker.handle(ms(50), Event::Read(key.object_name(), Err(())), &mut out);
+    worker.handle(ms(50), Event::ReadDone(key.object_name(), Err(())), &mut out);
     worker.handle(ms(301), Event::Tick, &mut out);
-    assert!(out.contains(&Action::Tell(1, Outcome::Unknown)), "{out:?}");
+    assert!(out.contains(&Action::Answer(1, Outcome::Unknown)), "{out:?}");
 }
 
 #[test]
@@ -138,10 +142,10 @@
         Event::Request { key, waiter: 1, deadline: ms(300), no_earlier_request: true },
         &mut out,
     );
-    worker.handle(ms(50), Event::Read(key.object_name(), Err(())), &mut out);
+    worker.handle(ms(50), Event::ReadDone(key.object_name(), Err(())), &mut out);
     worker.handle(ms(301), Event::Tick, &mut out);
     let not_run = Outcome::NotRun { reason: Reason::StoreUnavailable };
-    assert!(out.contains(&Action::Tell(1, not_run)), "{out:?}");
+    assert!(out.contains(&Action::Answer(1, not_run)), "{out:?}");
 }
 
 #[test]
@@ -161,7 +165,7 @@
             &mut out,
         );
     }
-    worker.handle(ms(3), Event::Stored(first.object_name(), Stored::Done(1)), &mut out);
+    worker.handle(ms(3), Event::WriteDone(first.object_name(), WriteOutcome::Done(1)), &mut out);
     worker.handle(ms(104), Event::Tick, &mut out);
     let writes: Vec<usize> = out
         .iter()
@@ -178,8 +182,8 @@
 #[test_case("soon-a", Err(Error::Malformed); "without a time")]
 #[test_case("1800000000", Err(Error::Malformed); "without text")]
 fn key_is_checked_against_its_time(text: &str, expected: Result<(), Error>) {
-    let read = Key::read(Service(0), text, NOW_S).map(|_| ());
-    assert_eq!(read.err(), expected.err());
+    let parsed = Key::parse(Service(0), text, NOW_S).map(|_| ());
+    assert_eq!(parsed.err(), expected.err());
 }
 
 #[test]
@@ -199,16 +203,16 @@
 fn claims_of_an_earlier_incarnation_are_not_run_again() {
     let (mut worker, key) = (Worker::new(7), key("f"));
     let mut ledger = Ledger::default();
-    ledger.claims.insert(key.name(), Claim { holder: 6, outcome: None });
+    ledger.claims.insert(key.claim_name(), Claim { holder: 6, outcome: None });
     let mut out = Vec::new();
     worker.handle(
         ms(0),
         Event::Request { key, waiter: 1, deadline: ms(300), no_earlier_request: true },
         &mut out,
     );
-    worker.handle(ms(1), Event::Read(key.object_name(), Ok(Some((4, ledger)))), &mut out);
+    worker.handle(ms(1), Event::ReadDone(key.object_name(), Ok(Some((4, ledger)))), &mut out);
     worker.handle(ms(301), Event::Tick, &mut out);
-    assert!(out.contains(&Action::Tell(1, Outcome::Unknown)), "{out:?}");
+    assert!(out.contains(&Action::Answer(1, Outcome::Unknown)), "{out:?}");
     assert!(!out.iter().any(|a| matches!(a, Action::Run(..))));
 }
 
--- a/crates/tgw-replay/src/render.rs
+++ b/crates/tgw-replay/src/render.rs
@@ -44,7 +44,7 @@
         }
         Message::Alive => "alive".into(),
         Message::Probe => "probe".into(),
-        Message::Order(order) => format!("order {} {}", order.number, order.key.name()),
+        Message::Order(order) => format!("order {} {}", order.number, order.key.claim_name()),
         Message::Ordered(number, outcome) => format!("ordered {number} {outcome:?}"),
         Message::Leaving(upstream) => format!("leaving {upstream}"),
     }
--- a/crates/tgw-serve/src/config.rs
+++ b/crates/tgw-serve/src/config.rs
@@ -11,7 +11,7 @@
     sync::{Arc, atomic::Ordering},
 };
 use tgw_clock::{Clock, Millis};
-use tgw_order::{Action, Event, Ledger, Stored};
+use tgw_order::{Action, Event, Ledger, WriteOutcome};
 use tgw_peer::{Outgoing, Parcel};
 use tgw_platform::{Error, Expect, Object, Store, Version, object::List};
 use tgw_ring::{Receiver, Sender};
@@ -247,17 +247,17 @@
                 let expect = if version == 0 { Expect::Absent } else { Expect::At(version) };
                 let Ok(value) = serde_json::to_value(&ledger) else { return };
                 let put = self.store.put(CLAIM, &object, expect, &value).await;
-                let stored = match self.call(put) {
-                    Ok(version) => Stored::Done(version),
-                    Err(Error::Conflict { .. }) => Stored::Conflict,
-                    Err(Error::Unavailable { .. }) => Stored::Unavailable,
-                    Err(Error::Gone | Error::Unknown { .. }) => Stored::Unknown,
+                let outcome = match self.call(put) {
+                    Ok(version) => WriteOutcome::Done(version),
+                    Err(Error::Conflict { .. }) => WriteOutcome::Conflict,
+                    Err(Error::Unavailable { .. }) => WriteOutcome::Unavailable,
+                    Err(Error::Gone | Error::Unknown { .. }) => WriteOutcome::Unknown,
                 };
-                Event::Stored(object, stored)
+                Event::WriteDone(object, outcome)
             }
             Action::Get(object) => {
                 let read = self.call(self.store.get(CLAIM, &object).await);
-                Event::Read(object, read.map_err(|_| ()).and_then(ledger))
+                Event::ReadDone(object, read.map_err(|_| ()).and_then(ledger))
             }
             Action::Expire(object) => {
                 if let Ok(Some(found)) = self.call(self.store.get(CLAIM, &object).await) {
@@ -265,7 +265,7 @@
                 }
                 return;
             }
-            Action::Run(..) | Action::Tell(..) => return,
+            Action::Run(..) | Action::Answer(..) => return,
         };
         // The clerk waits for this answer; the number of its calls under way is bounded.
         let mut work = Work::Store(event);
--- a/crates/tgw-serve/src/queries.rs
+++ b/crates/tgw-serve/src/queries.rs
@@ -191,7 +191,7 @@
             let _ = reply.send(Said::Refusal(Refusal { reason, retry_after: RETRY }));
             return;
         };
-        let key = match Key::read(id, &key, now_s) {
+        let key = match Key::parse(id, &key, now_s) {
             Ok(key) => key,
             Err(error) => {
                 let _ = reply.send(Said::BadKey(error));
@@ -275,9 +275,9 @@
         let Err(Notice::Store(action)) = self.notices.push(Notice::Store(action)) else { return };
         let event = match action {
             tgw_order::Action::Put(object, ..) => {
-                tgw_order::Event::Stored(object, tgw_order::Stored::Unavailable)
+                tgw_order::Event::WriteDone(object, tgw_order::WriteOutcome::Unavailable)
             }
-            tgw_order::Action::Get(object) => tgw_order::Event::Read(object, Err(())),
+            tgw_order::Action::Get(object) => tgw_order::Event::ReadDone(object, Err(())),
             _ => return,
         };
         let mut out = Vec::new();
