--- a/crates/tgw-demo/src/way.rs
+++ b/crates/tgw-demo/src/way.rs
@@ -4,7 +4,7 @@
     sync::{Arc, RwLock},
 };
 use tgw_clock::Millis;
-use tgw_peer::{Network, Way};
+use tgw_peer::{Network, Reachability};
 use tgw_topology::{
     Place,
     place::{Distance, Domain},
@@ -58,12 +58,14 @@
 }
 
 impl Network for From {
-    fn way(&self, to: SocketAddr) -> Way {
+    fn reachability(&self, to: SocketAddr) -> Reachability {
         let state = self.ways.0.read().unwrap_or_else(std::sync::PoisonError::into_inner);
-        let Some(there) = state.places.get(&to) else { return Way::Open(Millis::ZERO) };
+        let Some(there) = state.places.get(&to) else {
+            return Reachability::Reachable(Millis::ZERO);
+        };
         if state.cut.contains(&(self.place.domain, there.domain)) {
-            return Way::Cut;
+            return Reachability::Unreachable;
         }
-        Way::Open(Millis::from_f64(self.distance.between(self.place, *there)))
+        Reachability::Reachable(Millis::from_f64(self.distance.between(self.place, *there)))
     }
 }
--- a/crates/tgw-peer/src/frame.rs
+++ b/crates/tgw-peer/src/frame.rs
@@ -11,36 +11,43 @@
 
 /// One frame on a link.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Letter {
+pub struct Frame {
     /// The sending VM.
     pub from: Vm,
     /// The sending VM's incarnation.
     pub incarnation: u64,
     /// The frame's payload.
-    pub parcel: Parcel,
+    #[serde(rename = "parcel")]
+    pub payload: Payload,
 }
 
 /// The payload of a frame.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Parcel {
+pub enum Payload {
     /// Messages between the decision cores of two VMs.
     Messages(Vec<Message>),
     /// Membership records, for anti-entropy.
     Records(Vec<Record>),
     /// Requests the changes since these versions.
-    Ask {
+    #[serde(rename = "Ask")]
+    RequestUpdates {
         /// The edition of the table at the requesting VM.
-        edit: Edit,
+        #[serde(rename = "edit")]
+        edition: Edit,
         /// The version of the catalog at the requesting VM.
-        world: Version,
+        #[serde(rename = "world")]
+        catalog_version: Version,
     },
     /// Changes of the table.
-    Table(Delta),
+    #[serde(rename = "Table")]
+    TableUpdate(Delta),
     /// Changes of the catalog.
-    World {
+    #[serde(rename = "World")]
+    CatalogUpdate {
         /// The version of the catalog with these changes.
         version: Version,
         /// The services that changed.
-        parts: Vec<Part>,
+        #[serde(rename = "parts")]
+        updates: Vec<Part>,
     },
 }
--- a/crates/tgw-peer/src/lib.rs
+++ b/crates/tgw-peer/src/lib.rs
@@ -12,6 +12,6 @@
 /// The thread that owns the sockets and runs membership.
 mod worker;
 
-pub use frame::{Letter, Parcel};
-pub use network::{Network, Open, Way};
-pub use worker::{Handle, Options, Outgoing, Report, bind};
+pub use frame::{Frame, Payload};
+pub use network::{Direct, Network, Reachability};
+pub use worker::{Command, Handle, Observer, Options, bind};
--- a/crates/tgw-peer/src/link.rs
+++ b/crates/tgw-peer/src/link.rs
@@ -1,6 +1,6 @@
 use crate::{
-    frame::Letter,
-    network::{Network, Way},
+    frame::Frame,
+    network::{Network, Reachability},
 };
 use std::{collections::VecDeque, net::SocketAddr, rc::Rc, sync::Arc};
 use tgw_clock::Millis;
@@ -63,7 +63,7 @@
     network: Arc<dyn Network>,
     mut frames: mpsc::Receiver<Delayed>,
 ) {
-    if network.way(addr) == Way::Cut {
+    if network.reachability(addr) == Reachability::Unreachable {
         return;
     }
     let Ok(Ok(mut stream)) = timeout(CONNECT_TIMEOUT_MS.into(), TcpStream::connect(addr)).await
@@ -86,7 +86,7 @@
         if let Some((due, _)) = delayed.front() {
             sleep_until(*due).await;
         }
-        if network.way(addr) == Way::Cut {
+        if network.reachability(addr) == Reachability::Unreachable {
             return;
         }
         batch.clear();
@@ -108,7 +108,7 @@
 pub(crate) async fn read_frames(
     stream: TcpStream,
     keys: Rc<Keys>,
-    deliver: impl Fn(Letter) -> Result<(), Letter>,
+    deliver: impl Fn(Frame) -> Result<(), Frame>,
 ) {
     let _ = stream.set_nodelay(true);
     let mut stream = BufReader::with_capacity(1 << 16, stream);
--- a/crates/tgw-peer/src/network.rs
+++ b/crates/tgw-peer/src/network.rs
@@ -5,25 +5,25 @@
 
 /// Reachability of one address.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Reachability {
     /// Reachable, with this delay in addition to the network's own.
-    Open(Millis),
+    Reachable(Millis),
     /// Unreachable.
-    Cut,
+    Unreachable,
 }
 
 /// Gives the reachability of each address.
 pub trait Network: Send + Sync {
     /// The current reachability of `to`.
-    fn way(&self, to: SocketAddr) -> Way;
+    fn reachability(&self, to: SocketAddr) -> Reachability;
 }
 
 /// The network without injected faults or delays.
 #[derive(Copy, Clone, Debug, Default)]
-pub struct Open;
+pub struct Direct;
 
-impl Network for Open {
-    fn way(&self, _to: SocketAddr) -> Way {
-        Way::Open(Millis::ZERO)
+impl Network for Direct {
+    fn reachability(&self, _to: SocketAddr) -> Reachability {
+        Reachability::Reachable(Millis::ZERO)
     }
 }
--- a/crates/tgw-peer/src/worker.rs
+++ b/crates/tgw-peer/src/worker.rs
@@ -1,7 +1,7 @@
 use crate::{
-    frame::{Letter, Parcel},
+    frame::{Frame, Payload},
     link::{self, Link, SendError},
-    network::{Network, Way},
+    network::{Network, Reachability},
 };
 use anyhow::Context;
 use std::{
@@ -51,13 +51,13 @@
 
 /// Commands from other threads.
 #[derive(Debug)]
-pub enum Outgoing {
+pub enum Command {
     /// Send a payload to a VM.
-    Parcel(Vm, Parcel),
+    Send(Vm, Payload),
     /// This VM now uses this edition of the table.
-    Edit(u64),
+    Edition(u64),
     /// This VM now uses this version of the catalog.
-    World(u64),
+    CatalogVersion(u64),
     /// Addresses of VMs, as listed by the platform, to join the membership through.
     Seeds(Vec<SocketAddr>),
     /// This VM leaves: announce it to all VMs.
@@ -65,19 +65,19 @@
 }
 
 /// Receives the worker's events. The implementation decides what to do when one of its queues is full.
-pub trait Report: Send + 'static {
+pub trait Observer: Send + 'static {
     /// A frame from another VM; returned if it cannot be accepted now.
-    fn letter(&self, letter: Letter) -> Result<(), Letter>;
+    fn deliver(&self, frame: Frame) -> Result<(), Frame>;
     /// The directory has changed; `relay` says whether this VM watches the platform for its domain.
-    fn directory(&self, directory: Arc<Directory>, relay: bool);
+    fn directory_changed(&self, directory: Arc<Directory>, relay: bool);
     /// The editions in force by failure domain.
-    fn forces(&self, forces: BTreeMap<Domain, Force>);
+    fn rollouts(&self, rollouts: BTreeMap<Domain, Force>);
     /// The link to a VM broke.
-    fn lost(&self, vm: Vm);
+    fn disconnected(&self, vm: Vm);
     /// A payload could not be queued because the VM does not keep up.
-    fn refused(&self, vm: Vm, parcel: Parcel);
+    fn queue_full(&self, vm: Vm, payload: Payload);
     /// A VM has a newer table or catalog.
-    fn newer(&self, vm: Vm, edit: u64, world: u64);
+    fn peer_newer(&self, vm: Vm, edition: u64, catalog_version: u64);
     /// This VM was paused for so long that other VMs may have taken over its groups.
     fn paused(&self, gap: Millis);
 }
@@ -86,7 +86,7 @@
 #[derive(Debug, Default)]
 pub struct Counts {
     /// UDP bytes sent.
-    pub udp_sent: AtomicU64,
+    pub udp_bytes_sent: AtomicU64,
     /// UDP packets rejected as malformed or not signed with a known key.
     pub rejected_packets: AtomicU64,
     /// Frames handed to links, including those that a link rejected.
@@ -122,8 +122,8 @@
 /// Binds UDP and TCP and starts the thread. Fails if the address is in use or not of this machine.
 pub fn bind(
     mut options: Options,
-    outgoing: Receiver<Outgoing>,
-    report: Box<dyn Report>,
+    commands: Receiver<Command>,
+    observer: Box<dyn Observer>,
     stop: tokio::sync::watch::Receiver<bool>,
 ) -> anyhow::Result<Handle> {
     let (udp, tcp) = bind_both(options.listen)?;
@@ -136,9 +136,9 @@
         let Ok(runtime) = runtime else { return };
         let local = LocalSet::new();
         local.block_on(&runtime, async move {
-            let worker = Worker::new(options, udp, report, thread_counts);
+            let worker = Worker::new(options, udp, observer, thread_counts);
             if let Ok(mut worker) = worker {
-                worker.run(tcp, outgoing, stop).await;
+                worker.run(tcp, commands, stop).await;
             }
         });
     })?;
@@ -177,7 +177,7 @@
     /// VMs whose links have ended but are not removed yet.
     ended: Rc<RefCell<Vec<Vm>>>,
     closed_at: BTreeMap<Vm, Millis>,
-    report: Rc<Box<dyn Report>>,
+    observer: Rc<Box<dyn Observer>>,
     records: Rc<RefCell<Vec<Vec<Record>>>>,
     counts: Arc<Counts>,
     relay: Cell<bool>,
@@ -187,7 +187,7 @@
     fn new(
         options: Options,
         udp: std::net::UdpSocket,
-        report: Box<dyn Report>,
+        observer: Box<dyn Observer>,
         counts: Arc<Counts>,
     ) -> anyhow::Result<Self> {
         udp.set_nonblocking(true)?;
@@ -203,7 +203,7 @@
             links: BTreeMap::new(),
             ended: Rc::default(),
             closed_at: BTreeMap::new(),
-            report: Rc::new(report),
+            observer: Rc::new(observer),
             records: Rc::default(),
             counts,
             relay: Cell::new(false),
@@ -213,7 +213,7 @@
     async fn run(
         &mut self,
         tcp: std::net::TcpListener,
-        outgoing: Receiver<Outgoing>,
+        commands: Receiver<Command>,
         mut stop: tokio::sync::watch::Receiver<bool>,
     ) {
         let listener = tcp.set_nonblocking(true).and_then(|()| TcpListener::from_std(tcp));
@@ -227,8 +227,8 @@
             tokio::select! {
                 _ = stop.changed() => return,
                 _ = tick.tick() => self.tick(),
-                () = outgoing.ready() => {
-                    while let Some(command) = outgoing.pop() {
+                () = commands.ready() => {
+                    while let Some(command) = commands.pop() {
                         self.handle_command(command);
                     }
                 }
@@ -245,21 +245,21 @@
 
     /// Accepts links and delivers their frames.
     fn accept(&self, listener: TcpListener) {
-        let (keys, report, records) =
-            (self.keys.clone(), self.report.clone(), self.records.clone());
+        let (keys, observer, records) =
+            (self.keys.clone(), self.observer.clone(), self.records.clone());
         tokio::task::spawn_local(async move {
             loop {
                 let Ok((stream, _)) = listener.accept().await else {
                     sleep(TICK_INTERVAL_MS.into()).await;
                     continue;
                 };
-                let (report, records) = (report.clone(), records.clone());
-                let deliver = move |frame: Letter| match frame.parcel {
-                    Parcel::Records(batch) => {
+                let (observer, records) = (observer.clone(), records.clone());
+                let deliver = move |frame: Frame| match frame.payload {
+                    Payload::Records(batch) => {
                         records.borrow_mut().push(batch);
                         Ok(())
                     }
-                    _ => report.letter(frame),
+                    _ => observer.deliver(frame),
                 };
                 tokio::task::spawn_local(link::read_frames(stream, keys.clone(), deliver));
             }
@@ -282,7 +282,7 @@
             self.handle_event(Event::Records(batch));
         }
         self.handle_event(Event::Tick);
-        self.report.forces(self.member.forces().clone());
+        self.observer.rollouts(self.member.forces().clone());
     }
 
     fn handle_event(&mut self, event: Event) {
@@ -293,8 +293,8 @@
                 Action::Send(to, packet) => self.send_packet(to, &packet),
                 Action::Sync(to, records) => self.send_records(to, records),
                 Action::Changed => self.publish_directory(),
-                Action::Newer { vm, edit, world, .. } => self.report.newer(vm, edit, world),
-                Action::Paused(gap) => self.report.paused(gap),
+                Action::Newer { vm, edit, world, .. } => self.observer.peer_newer(vm, edit, world),
+                Action::Paused(gap) => self.observer.paused(gap),
             }
         }
     }
@@ -309,13 +309,13 @@
             .collect();
         self.links.retain(|vm, _| live.contains(vm));
         self.relay.set(self.member.is_relay());
-        self.report.directory(directory, self.relay.get());
+        self.observer.directory_changed(directory, self.relay.get());
     }
 
     fn send_packet(&self, to: SocketAddr, packet: &Packet) {
-        let Way::Open(delay) = self.network.way(to) else { return };
+        let Reachability::Reachable(delay) = self.network.reachability(to) else { return };
         let Ok(bytes) = tgw_wire::seal(&self.keys, packet) else { return };
-        self.counts.udp_sent.fetch_add(bytes.len() as u64, Ordering::Relaxed);
+        self.counts.udp_bytes_sent.fetch_add(bytes.len() as u64, Ordering::Relaxed);
         if delay == Millis::ZERO {
             // A packet dropped by a full socket buffer is handled like one lost by the network.
             let _ = self.udp.try_send_to(&bytes, to);
@@ -331,45 +331,45 @@
     /// Sends records over a separate link, as the other VM may not be known yet.
     fn send_records(&self, to: SocketAddr, records: Vec<Record>) {
         let link = Link::open(to, self.network.clone(), || {});
-        let frame = self.frame(Parcel::Records(records));
-        if let (Ok(bytes), Way::Open(delay)) =
-            (tgw_wire::seal(&self.keys, &frame), self.network.way(to))
+        let frame = self.frame(Payload::Records(records));
+        if let (Ok(bytes), Reachability::Reachable(delay)) =
+            (tgw_wire::seal(&self.keys, &frame), self.network.reachability(to))
         {
             let _ = link.send(delay, bytes);
         }
     }
 
-    fn frame(&self, parcel: Parcel) -> Letter {
-        Letter { from: self.vm, incarnation: self.incarnation, parcel }
+    fn frame(&self, payload: Payload) -> Frame {
+        Frame { from: self.vm, incarnation: self.incarnation, payload }
     }
 
-    fn handle_command(&mut self, command: Outgoing) {
+    fn handle_command(&mut self, command: Command) {
         match command {
-            Outgoing::Parcel(to, parcel) => self.send_frame(to, parcel),
-            Outgoing::Edit(edit) => self.handle_event(Event::Edit(edit)),
-            Outgoing::World(version) => self.handle_event(Event::World(version)),
-            Outgoing::Seeds(seeds) => self.handle_event(Event::Seeds(seeds)),
-            Outgoing::Leave => self.handle_event(Event::Leave),
+            Command::Send(to, payload) => self.send_frame(to, payload),
+            Command::Edition(edition) => self.handle_event(Event::Edit(edition)),
+            Command::CatalogVersion(version) => self.handle_event(Event::World(version)),
+            Command::Seeds(seeds) => self.handle_event(Event::Seeds(seeds)),
+            Command::Leave => self.handle_event(Event::Leave),
         }
     }
 
-    fn send_frame(&mut self, to: Vm, parcel: Parcel) {
-        let frame = self.frame(parcel);
+    fn send_frame(&mut self, to: Vm, payload: Payload) {
+        let frame = self.frame(payload);
         let Ok(bytes) = tgw_wire::seal(&self.keys, &frame) else { return };
         let sent = match self.link(to) {
-            Some((addr, link)) => match self.network.way(addr) {
-                Way::Open(delay) => link.send(delay, bytes),
-                Way::Cut => Err(SendError::Closed),
+            Some((addr, link)) => match self.network.reachability(addr) {
+                Reachability::Reachable(delay) => link.send(delay, bytes),
+                Reachability::Unreachable => Err(SendError::Closed),
             },
             None => Err(SendError::Closed),
         };
         self.counts.frames.fetch_add(1, Ordering::Relaxed);
         match sent {
             Ok(()) => {}
-            Err(SendError::Full) => self.report.refused(to, frame.parcel),
+            Err(SendError::Full) => self.observer.queue_full(to, frame.payload),
             Err(SendError::Closed) => {
                 self.links.remove(&to);
-                self.report.lost(to);
+                self.observer.disconnected(to);
             }
         }
     }
@@ -400,7 +400,7 @@
         for vm in ended {
             self.links.remove(&vm);
             self.closed_at.insert(vm, now);
-            self.report.lost(vm);
+            self.observer.disconnected(vm);
         }
     }
 }
--- a/crates/tgw-serve/src/config.rs
+++ b/crates/tgw-serve/src/config.rs
@@ -12,7 +12,7 @@
 };
 use tgw_clock::{Clock, Millis};
 use tgw_order::{Action, Event, Ledger, WriteOutcome};
-use tgw_peer::{Outgoing, Parcel};
+use tgw_peer::{Command, Payload};
 use tgw_platform::{Error, Expect, Object, Store, Version, object::List};
 use tgw_ring::{Receiver, Sender};
 use tgw_table::{Document, adopt};
@@ -49,7 +49,7 @@
 struct Duty {
     store: Arc<dyn Store>,
     core: Sender<Work>,
-    peers: Sender<Outgoing>,
+    peers: Sender<Command>,
     gauges: Arc<Gauges>,
     clock: Arc<dyn Clock>,
     table: RefCell<adopt::State>,
@@ -63,7 +63,7 @@
 pub(crate) fn run(
     store: Arc<dyn Store>,
     core: Sender<Work>,
-    peers: Sender<Outgoing>,
+    peers: Sender<Command>,
     notices: Receiver<Notice>,
     gauges: Arc<Gauges>,
     clock: Arc<dyn Clock>,
@@ -199,7 +199,7 @@
         if let Some(document) = table.document() {
             tracing::info!(target: "tgw::table", edit = document.edit, source, "in force");
             let _ = self.core.push(Work::Table(document.clone()));
-            let _ = self.peers.push(Outgoing::Edit(document.edit));
+            let _ = self.peers.push(Command::Edition(document.edit));
         }
     }
 
@@ -207,7 +207,7 @@
         let mut catalog = self.catalog.borrow_mut();
         if catalog.merge(version, parts) {
             let _ = self.core.push(Work::Catalog(Arc::new(catalog.clone())));
-            let _ = self.peers.push(Outgoing::World(catalog.version));
+            let _ = self.peers.push(Command::CatalogVersion(catalog.version));
         }
     }
 
@@ -219,7 +219,7 @@
                 None => vms.remove(&name),
             };
         }
-        let _ = self.peers.push(Outgoing::Seeds(vms.values().copied().collect()));
+        let _ = self.peers.push(Command::Seeds(vms.values().copied().collect()));
     }
 
     fn notice(&self, notice: Notice) {
@@ -282,19 +282,24 @@
         }
         self.asked.set(Some(now));
         let (edit, world) = (self.table.borrow().edit(), self.catalog.borrow().version);
-        let _ = self.peers.push(Outgoing::Parcel(vm, Parcel::Ask { edit, world }));
+        let _ = self.peers.push(Command::Send(
+            vm,
+            Payload::RequestUpdates { edition: edit, catalog_version: world },
+        ));
     }
 
     fn answer(&self, from: Vm, edit: u64, world: Version) {
         let table = self.table.borrow();
         if let Some(document) = table.document().filter(|d| d.edit > edit) {
             let delta = document.delta(edit);
-            let _ = self.peers.push(Outgoing::Parcel(from, Parcel::Table(delta)));
+            let _ = self.peers.push(Command::Send(from, Payload::TableUpdate(delta)));
         }
         let catalog = self.catalog.borrow();
         if catalog.version > world {
             let (version, parts) = (catalog.version, catalog.since(world));
-            let _ = self.peers.push(Outgoing::Parcel(from, Parcel::World { version, parts }));
+            let _ = self
+                .peers
+                .push(Command::Send(from, Payload::CatalogUpdate { version, updates: parts }));
         }
     }
 }
--- a/crates/tgw-serve/src/queries.rs
+++ b/crates/tgw-serve/src/queries.rs
@@ -12,7 +12,7 @@
 use tgw_member::Force;
 use tgw_node::{Input, Intake, Message, Node, Output};
 use tgw_order::Key;
-use tgw_peer::{Outgoing, Parcel};
+use tgw_peer::{Command, Payload};
 use tgw_query::answer::{Refusal, RefusalReason};
 use tgw_ring::{Receiver, Sender};
 use tgw_topology::{Upstream, Vm, place::Domain};
@@ -39,7 +39,7 @@
     /// The same ring's sending end, for its figures.
     pub(crate) depth: Sender<Work>,
     pub(crate) errands: Sender<Errand>,
-    pub(crate) peers: Sender<Outgoing>,
+    pub(crate) peers: Sender<Command>,
     pub(crate) notices: Sender<Notice>,
     pub(crate) log: Log,
     pub(crate) idle: watch::Sender<bool>,
@@ -54,7 +54,7 @@
     pub(crate) work: Receiver<Work>,
     pub(crate) depth: Sender<Work>,
     pub(crate) errands: Sender<Errand>,
-    pub(crate) peers: Sender<Outgoing>,
+    pub(crate) peers: Sender<Command>,
     pub(crate) notices: Sender<Notice>,
     pub(crate) idle: watch::Sender<bool>,
 }
@@ -259,7 +259,7 @@
             }
         }
         for (to, messages) in letters {
-            if self.peers.push(Outgoing::Parcel(to, Parcel::Messages(messages))).is_err() {
+            if self.peers.push(Command::Send(to, Payload::Messages(messages))).is_err() {
                 // The peers' ring is full: what was asked cannot reach the VM. The core is told that
                 // the way is lost and asks a stand-in or reports the shards missing.
                 let mut out = Vec::new();
--- a/crates/tgw-serve/src/serve.rs
+++ b/crates/tgw-serve/src/serve.rs
@@ -23,7 +23,7 @@
     message::{Ask, Told},
 };
 use tgw_owner::Directory;
-use tgw_peer::{Letter, Network, Open, Outgoing, Parcel, Report};
+use tgw_peer::{Command, Direct, Frame, Network, Payload};
 use tgw_platform::{Http, Store};
 use tgw_ring::{Receiver, Sender, pair};
 use tgw_settings::Settings;
@@ -38,7 +38,7 @@
 const CORE: usize = 1 << 16;
 /// Errands that wait for the upstreams' duty.
 const ERRANDS: usize = 1 << 16;
-/// Parcels that wait for the peers' duty.
+/// Commands that wait for the peers' duty.
 const PEERS: usize = 1 << 14;
 const NOTICES: usize = 1 << 12;
 /// Counter bits below a life's start time: room for refutations.
@@ -67,7 +67,7 @@
         Self {
             settings,
             store: None,
-            network: Arc::new(Open),
+            network: Arc::new(Direct),
             freeze: Freeze::default(),
             tap: None,
         }
@@ -80,7 +80,7 @@
     operators: SocketAddr,
     peers: tgw_peer::Handle,
     core: Sender<Work>,
-    outgoing: Sender<Outgoing>,
+    outgoing: Sender<Command>,
     gauges: Arc<Gauges>,
     idle: watch::Receiver<bool>,
     /// Ends the HTTP listeners, which finish the requests they have.
@@ -120,13 +120,13 @@
 
     /// Bytes of membership packets sent since the start.
     pub fn udp_sent(&self) -> u64 {
-        self.peers.counts().udp_sent.load(Ordering::Relaxed)
+        self.peers.counts().udp_bytes_sent.load(Ordering::Relaxed)
     }
 
     /// Leaves in order: tells the others, goes on accepting while the balancer lags, finishes all
     /// requests, then stops. Returns whether nothing was left undone within `limit`.
     pub fn drain(mut self, limit: Duration) -> bool {
-        let _ = self.outgoing.push(Outgoing::Leave);
+        let _ = self.outgoing.push(Command::Leave);
         self.gauges.leaving.store(true, Ordering::Relaxed);
         std::thread::sleep(self.grace);
         let _ = self.core.push(Work::Drain);
@@ -162,46 +162,48 @@
     notices: Sender<Notice>,
 }
 
-impl Report for Sink {
-    fn letter(&self, letter: Letter) -> Result<(), Letter> {
-        let Letter { from, incarnation, parcel } = letter;
-        let notice = match parcel {
-            Parcel::Messages(messages) => {
+impl tgw_peer::Observer for Sink {
+    fn deliver(&self, frame: Frame) -> Result<(), Frame> {
+        let Frame { from, incarnation, payload } = frame;
+        let notice = match payload {
+            Payload::Messages(messages) => {
                 let back = self.core.push(Work::Messages(from, messages));
                 return back.map_err(|work| match work {
                     Work::Messages(from, messages) => {
-                        Letter { from, incarnation, parcel: Parcel::Messages(messages) }
+                        Frame { from, incarnation, payload: Payload::Messages(messages) }
                     }
-                    _ => Letter { from, incarnation, parcel: Parcel::Messages(Vec::new()) },
+                    _ => Frame { from, incarnation, payload: Payload::Messages(Vec::new()) },
                 });
             }
-            Parcel::Ask { edit, world } => Notice::Asked { from, edit, world },
-            Parcel::Table(delta) => Notice::Table(delta),
-            Parcel::World { version, parts } => Notice::World { version, parts },
-            Parcel::Records(_) => return Ok(()),
+            Payload::RequestUpdates { edition: edit, catalog_version: world } => {
+                Notice::Asked { from, edit, world }
+            }
+            Payload::TableUpdate(delta) => Notice::Table(delta),
+            Payload::CatalogUpdate { version, updates: parts } => Notice::World { version, parts },
+            Payload::Records(_) => return Ok(()),
         };
         // Versions are told again with every packet, so a lost notice is made up for.
         let _ = self.notices.push(notice);
         Ok(())
     }
 
-    fn directory(&self, directory: Arc<Directory>, relay: bool) {
+    fn directory_changed(&self, directory: Arc<Directory>, relay: bool) {
         let _ = self.core.push(Work::Directory(directory));
         let _ = self.notices.push(Notice::Relay(relay));
     }
 
-    fn forces(&self, forces: BTreeMap<Domain, Force>) {
-        let _ = self.core.push(Work::Forces(forces));
+    fn rollouts(&self, rollouts: BTreeMap<Domain, Force>) {
+        let _ = self.core.push(Work::Forces(rollouts));
     }
 
-    fn lost(&self, vm: Vm) {
+    fn disconnected(&self, vm: Vm) {
         let _ = self.core.push(Work::Lost(vm));
     }
 
-    fn refused(&self, vm: Vm, parcel: Parcel) {
+    fn queue_full(&self, vm: Vm, payload: Payload) {
         // The VM does not keep up. What it was asked is answered as failed, so that the entry can
         // try elsewhere; outcomes and cancellations are lost, and the asker's timers deal with it.
-        let Parcel::Messages(messages) = parcel else { return };
+        let Payload::Messages(messages) = payload else { return };
         let failed = messages.into_iter().filter_map(|message| match message {
             Message::Ask(Ask { key, .. }) => {
                 Some(Message::Outcome(Told::bare(key, Outcome::Failed(Failure::Closed))))
@@ -211,7 +213,7 @@
         let _ = self.core.push(Work::Messages(vm, failed.collect()));
     }
 
-    fn newer(&self, vm: Vm, _edit: u64, _world: u64) {
+    fn peer_newer(&self, vm: Vm, _edition: u64, _catalog_version: u64) {
         let _ = self.notices.push(Notice::Newer(vm));
     }
 
@@ -380,7 +382,7 @@
 fn config_thread(
     store: Arc<dyn Store>,
     core: &Sender<Work>,
-    peers: &Sender<Outgoing>,
+    peers: &Sender<Command>,
     notices: Receiver<Notice>,
     gauges: &Arc<Gauges>,
     clock: &Arc<dyn Clock>,
