--- a/crates/tgw-bench/src/sim.rs
+++ b/crates/tgw-bench/src/sim.rs
@@ -196,16 +196,16 @@
             vm,
             incarnation: (index as u64 + 1) << 20 | u64::from(life),
             place,
-            distance: self.distance,
-            places: self.setup.places,
-            sample: u64::from(self.setup.record.is_some()),
+            network_delays: self.distance,
+            max_running: self.setup.places,
+            log_sample_interval: u64::from(self.setup.record.is_some()),
         };
         let mut node = Node::new(self.options(&identity));
         let record = self.setup.record.as_ref().filter(|_| index == 0);
         let file = record.and_then(|path| File::create(path).ok());
         if let Some(recorder) = file.and_then(|f| Recorder::open(BufWriter::new(f), &identity).ok())
         {
-            node.tap(Box::new(recorder));
+            node.set_observer(Box::new(recorder));
         }
         VmState {
             node,
@@ -222,16 +222,16 @@
     fn options(&self, identity: &Identity) -> Options {
         let (policy, seed, truth) = (self.policy, self.setup.seed, self.truth.clone());
         if policy == Policy::Tier {
-            return Options::shipped(identity);
+            return Options::production(identity);
         }
         Options {
             entry: tgw_query::Options {
                 adaptive_limits: false,
                 hedge_across_groups: policy.hedges() && !policy.direct(),
-                ..Options::shipped(identity).entry
+                ..Options::production(identity).entry
             },
             place: identity.place,
-            distance: identity.distance,
+            network_delays: identity.network_delays,
             policy: Box::new(move |group| policy.pick(seed, &truth, group)),
             dispatch: policy.options(),
         }
@@ -351,12 +351,12 @@
                 let cut = self.is_cut(self.vms[from].place, self.vms[to].place);
                 if self.vms[to].up && self.vms[to].life == life && !cut {
                     let sender = self.vms[from].vm;
-                    self.input(to, Input::Peer(sender, message));
+                    self.input(to, Input::MessageReceived(sender, message));
                 }
             }
             Event::Lost { at, vm } => {
                 let vm = self.vms[vm].vm;
-                self.input(at, Input::Lost(vm));
+                self.input(at, Input::Disconnected(vm));
             }
             Event::AtUpstream { upstream, job } => self.at_upstream(upstream, &job),
             Event::Finish { upstream, run } => self.finish(upstream, run),
@@ -367,7 +367,7 @@
                     return self.vms[vm].paused.push(event);
                 }
                 if self.vms[vm].up && self.vms[vm].life == life {
-                    self.input(vm, Input::Done { ticket, result, held });
+                    self.input(vm, Input::SendEnded { send_id: ticket, result, snapshots: held });
                 }
             }
             Event::Tick(vm, life) => {
@@ -417,12 +417,12 @@
         let waiting = Waiting { service, at: self.now, body: token, measured };
         self.waiting.insert((vm, token), waiting);
         let body = Bytes::copy_from_slice(&token.to_le_bytes());
-        self.input(vm, Input::Submit { token, service, within: None, body });
+        self.input(vm, Input::Submit { token, service, timeout: None, body });
     }
 
     pub(crate) fn input(&mut self, vm: usize, input: Input) {
         let mut out = Vec::new();
-        self.vms[vm].node.on(self.now, input, &mut out);
+        self.vms[vm].node.handle(self.now, input, &mut out);
         for output in out {
             self.output(vm, output);
         }
@@ -430,8 +430,8 @@
 
     fn output(&mut self, vm: usize, output: Output) {
         match output {
-            Output::Tell(to, message) => self.tell(vm, to, message),
-            Output::Send { ticket, upstream, leaf } => {
+            Output::SendMessage(to, message) => self.tell(vm, to, message),
+            Output::Send { send_id: ticket, upstream, leaf } => {
                 if self.waiting.get(&self.owner_of_query(&leaf)).is_some_and(|w| w.measured) {
                     self.collector.sent += 1;
                     self.sent_measured.insert(leaf.key.query);
@@ -448,7 +448,7 @@
                 }
                 self.after(way, Event::AtUpstream { upstream: index, job: Box::new(job) });
             }
-            Output::Abort { ticket, upstream } => {
+            Output::Cancel { send_id: ticket, upstream } => {
                 let upstream = upstream.0 as usize;
                 let way = self.way_to_upstream(vm, upstream);
                 self.after(way, Event::Stop { upstream, vm, ticket });
@@ -461,11 +461,11 @@
                     self.collector.refused_after = self.collector.refused_after.max(after);
                 }
             }
-            Output::Ordered(..)
-            | Output::Store(_)
+            Output::AnswerOrder(..)
+            | Output::CallStore(_)
             | Output::Connect(_)
             | Output::Disconnect(_)
-            | Output::Note(_) => {}
+            | Output::LogDecision(_) => {}
         }
     }
 
--- a/crates/tgw-bench/src/slopes.rs
+++ b/crates/tgw-bench/src/slopes.rs
@@ -13,7 +13,7 @@
 use tgw_dispatch::leaf::{Key, Operation, Outcome};
 use tgw_node::{
     Message,
-    message::{Ask, Told},
+    message::{Completion, Request},
 };
 use tgw_owner::{Directory, Map, Member, State};
 use tgw_standin::size::{Spread, User};
@@ -151,20 +151,21 @@
 fn frames() -> Vec<Slope> {
     let query = Query { incarnation: 1 << 40, number: 1 << 20 };
     let key = Key { from: Vm::named("vm"), query, shard: Shard(50), attempt: 0 };
-    let ask = Message::Ask(Ask {
+    let request = Message::Request(Request {
         group: Group { service: Service(100), instance: 50, domain: Domain(10) },
         stand_in: false,
         key,
         snapshot: Snapshot { version: 1000, layout: Layout(3) },
-        left: Millis::new(150),
-        patience: None,
+        remaining: Millis::new(150),
+        queue_timeout: None,
         body: vec![b'x'; 100].into(),
-        traced: false,
-        work: Operation::Search,
+        log_decisions: false,
+        operation: Operation::Search,
     });
-    let mut told = Told::bare(key, Outcome::Items(vec![b'x'; 300].into()));
-    told.stock = Some([(Snapshot { version: 1000, layout: Layout(3) }, 3)].into_iter().collect());
-    let outcome = Message::Outcome(told);
+    let mut completion = Completion::unqueued(key, Outcome::Items(vec![b'x'; 300].into()));
+    completion.snapshot_counts =
+        Some([(Snapshot { version: 1000, layout: Layout(3) }, 3)].into_iter().collect());
+    let outcome = Message::Outcome(completion);
     let keys = Keys::new([1; 32], None);
     let size =
         |messages: &[Message]| tgw_wire::seal(&keys, &messages).map_or(0, |f| f.len()) as f64;
@@ -177,11 +178,11 @@
         }
         start.elapsed().as_secs_f64() * 1e6 / f64::from(ROUNDS)
     };
-    let (asks, outcomes) = (vec![ask; 4], vec![outcome; 4]);
+    let (requests, outcomes) = (vec![request; 4], vec![outcome; 4]);
     let values = |of: &dyn Fn(&[Message]) -> f64| {
         vec![
-            ("one request of 100 bytes".to_owned(), of(&asks[..1])),
-            ("four of them in one frame".to_owned(), of(&asks)),
+            ("one request of 100 bytes".to_owned(), of(&requests[..1])),
+            ("four of them in one frame".to_owned(), of(&requests)),
             ("one outcome of 300 bytes".to_owned(), of(&outcomes[..1])),
             ("four of them in one frame".to_owned(), of(&outcomes)),
         ]
--- a/crates/tgw-node/src/event.rs
+++ b/crates/tgw-node/src/event.rs
@@ -25,7 +25,7 @@
     /// The VM's region and failure domain.
     pub place: Place,
     /// Network delays that estimates start from.
-    pub distance: Distance,
+    pub network_delays: Distance,
     /// Makes the policy that chooses upstreams in a group.
     pub policy: Box<dyn Fn(Group) -> Box<dyn Policy> + Send>,
     /// Options of the dispatch to groups; budgets are replaced by those in the table's rows.
@@ -42,28 +42,32 @@
     /// Its region and failure domain.
     pub place: Place,
     /// Network delays that estimates start from.
-    pub distance: Distance,
+    #[serde(rename = "distance")]
+    pub network_delays: Distance,
     /// Most queries that run at once, over all services.
-    pub places: u32,
+    #[serde(rename = "places")]
+    pub max_running: u32,
     /// The decisions of one in this many queries are logged.
-    pub sample: u64,
+    #[serde(rename = "sample")]
+    pub log_sample_interval: u64,
 }
 
 impl Options {
     /// The options used in production.
-    pub fn shipped(identity: &Identity) -> Self {
-        let Identity { vm, incarnation, place, distance, places, sample } = identity.clone();
+    pub fn production(identity: &Identity) -> Self {
+        let Identity { vm, incarnation, place, network_delays, max_running, log_sample_interval } =
+            identity.clone();
         Self {
             entry: tgw_query::Options {
                 vm,
                 incarnation,
-                max_running: places,
+                max_running,
                 adaptive_limits: true,
-                log_sample_interval: sample,
+                log_sample_interval,
                 hedge_across_groups: true,
             },
             place,
-            distance,
+            network_delays,
             policy: Box::new(|_| Box::new(LateBinding)),
             dispatch: owner::Options {
                 hedge_budget: 1.0,
@@ -76,22 +80,24 @@
 
 /// A caller's order.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Intake {
+pub struct IncomingOrder {
     /// Identifies the caller's request.
     pub token: Token,
     /// The caller's key.
     pub key: tgw_order::Key,
     /// Seconds since the key was made; `None` if the key's time is in the future.
-    pub age_s: Option<u64>,
+    #[serde(rename = "age_s")]
+    pub key_age_s: Option<u64>,
     /// The caller's timeout; applies if it is shorter than the one in the service's row.
-    pub within: Option<Millis>,
+    #[serde(rename = "within")]
+    pub timeout: Option<Millis>,
     /// The body of the order.
     #[serde(with = "tgw_topology::text")]
     pub body: bytes::Bytes,
 }
 
 /// Observes all inputs and outputs of a core, for example to record a trace.
-pub trait Tap: Send {
+pub trait Observer: Send {
     /// Called with each input before it is handled.
     fn input(&mut self, now: Millis, input: &Input);
     /// Called with the outputs of that input.
@@ -108,36 +114,45 @@
         /// The service.
         service: Service,
         /// The caller's timeout; applies if it is shorter than the one in the service's row.
-        within: Option<Millis>,
+        #[serde(rename = "within")]
+        timeout: Option<Millis>,
         /// The body of the search.
         #[serde(with = "tgw_topology::text")]
         body: bytes::Bytes,
     },
     /// The caller disconnected.
-    Abandon(Token),
+    #[serde(rename = "Abandon")]
+    CallerDisconnected(Token),
     /// A message from another VM.
-    Peer(Vm, Message),
+    #[serde(rename = "Peer")]
+    MessageReceived(Vm, Message),
     /// The connection to a VM broke, or the VM is dead.
-    Lost(Vm),
+    #[serde(rename = "Lost")]
+    Disconnected(Vm),
     /// A send to an upstream has ended.
-    Done {
+    #[serde(rename = "Done")]
+    SendEnded {
         /// The send.
-        ticket: SendId,
+        #[serde(rename = "ticket")]
+        send_id: SendId,
         /// The reply, or why there is none.
         result: Result<Reply, Failure>,
         /// The snapshots that the upstream says it holds.
-        held: Option<HeldSnapshots>,
+        #[serde(rename = "held")]
+        snapshots: Option<HeldSnapshots>,
     },
     /// The upstream or the platform reports that the upstream leaves.
     Leaving(Upstream),
     /// An upstream answered with a different incarnation than before.
     Restarted(Upstream),
     /// An upstream reported the snapshots that it holds.
-    Held(Upstream, HeldSnapshots),
+    #[serde(rename = "Held")]
+    SnapshotsReported(Upstream, HeldSnapshots),
     /// A caller's order.
-    Order(Intake),
-    /// The store's answer to a call requested by [`Output::Store`].
-    Store(tgw_order::Event),
+    Order(IncomingOrder),
+    /// The store's answer to a call requested by [`Output::CallStore`].
+    #[serde(rename = "Store")]
+    StoreAnswered(tgw_order::Event),
     /// The platform's current description of services and upstreams.
     Catalog(Arc<Catalog>),
     /// A newer edition of the table.
@@ -156,20 +171,20 @@
 #[derive(Debug)]
 pub enum Output {
     /// Send a message to another VM.
-    Tell(Vm, Message),
+    SendMessage(Vm, Message),
     /// Send a request to an upstream.
     Send {
-        /// Identifies the send in [`Input::Done`].
-        ticket: SendId,
+        /// Identifies the send in [`Input::SendEnded`].
+        send_id: SendId,
         /// The upstream.
         upstream: Upstream,
         /// The request.
         leaf: Leaf,
     },
     /// Cancel a request at an upstream.
-    Abort {
+    Cancel {
         /// The send.
-        ticket: SendId,
+        send_id: SendId,
         /// The upstream.
         upstream: Upstream,
     },
@@ -178,22 +193,22 @@
     /// Reject a caller's query without running it.
     Refuse(Token, Refusal),
     /// Answer a caller's order.
-    Ordered(Token, tgw_order::Outcome),
-    /// Call the platform's store to claim or record orders; answered by [`Input::Store`].
-    Store(tgw_order::Action),
+    AnswerOrder(Token, tgw_order::Outcome),
+    /// Call the platform's store to claim or record orders; answered by [`Input::StoreAnswered`].
+    CallStore(tgw_order::Action),
     /// Connect to these upstreams, as dispatch to them begins.
     Connect(SmallVec<[Upstream; 4]>),
     /// Close the connections to these upstreams, as dispatch to them has ended.
     Disconnect(SmallVec<[Upstream; 4]>),
     /// A decision for the log.
-    Note(Note),
+    LogDecision(Decision),
 }
 
 /// A decision for the log.
 #[derive(Clone, Debug)]
-pub enum Note {
+pub enum Decision {
     /// About a query, at the VM that received it.
-    Entry(QueryDecision),
+    Query(QueryDecision),
     /// About a leaf request or an upstream, at the group's owner.
     Dispatch(owner::Decision),
     /// About the ownership of a group.
@@ -210,5 +225,5 @@
     /// Its current owner in this VM's view of membership.
     pub owner: Option<Vm>,
     /// The reason for the change.
-    pub what: &'static str,
+    pub reason: &'static str,
 }
--- a/crates/tgw-node/src/lib.rs
+++ b/crates/tgw-node/src/lib.rs
@@ -18,7 +18,7 @@
 /// Changes of ownership: catalog, directory, leaving upstreams.
 mod ownership;
 
-pub use event::{Identity, Input, Intake, Note, Options, Output, Placement, Tap};
+pub use event::{Decision, Identity, IncomingOrder, Input, Observer, Options, Output, Placement};
 pub use message::Message;
 pub use node::Node;
 pub use tgw_dispatch::leaf::Outcome as LeafOutcome;
--- a/crates/tgw-node/src/message.rs
+++ b/crates/tgw-node/src/message.rs
@@ -10,26 +10,29 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
     /// Dispatch a leaf request.
-    Ask(Ask),
+    #[serde(rename = "Ask")]
+    Request(Request),
     /// Cancel a leaf request.
     Cancel(Key),
     /// The outcome of a leaf request.
-    Outcome(Told),
+    Outcome(Completion),
     /// Heartbeat of a VM that works on requests of the receiver.
-    Alive,
+    #[serde(rename = "Alive")]
+    Heartbeat,
     /// Asks an unresponsive VM for a heartbeat.
     Probe,
     /// An order, to the VM that claims orders of its key's bucket.
     Order(Order),
-    /// The outcome of an order, by its number.
-    Ordered(u64, tgw_order::Outcome),
+    /// The outcome of an order, by its request id.
+    #[serde(rename = "Ordered")]
+    OrderOutcome(u64, tgw_order::Outcome),
     /// An upstream leaves: no VM may send it new requests.
     Leaving(Upstream),
 }
 
 /// A leaf request for the VM that dispatches to its group.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct Request {
     /// The replica group.
     pub group: Group,
     /// The receiver stands in for the group's owner.
@@ -39,23 +42,28 @@
     /// The snapshot to search.
     pub snapshot: Snapshot,
     /// Time until the deadline; a duration, as the clocks of two VMs differ.
-    pub left: Millis,
+    #[serde(rename = "left")]
+    pub remaining: Millis,
     /// Time after which the request is returned if it is still queued.
-    pub patience: Option<Millis>,
+    #[serde(rename = "patience")]
+    pub queue_timeout: Option<Millis>,
     /// The body of the search.
     #[serde(with = "tgw_topology::text")]
     pub body: Bytes,
     /// Whether decisions about the request are logged.
-    pub traced: bool,
+    #[serde(rename = "traced")]
+    pub log_decisions: bool,
     /// The operation at the upstream.
-    pub work: Operation,
+    #[serde(rename = "work")]
+    pub operation: Operation,
 }
 
 /// An order, to the VM that claims orders of its key's bucket.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Order {
     /// Identifies the request at the VM that received it from the caller.
-    pub number: u64,
+    #[serde(rename = "number")]
+    pub request_id: u64,
     /// The caller's key.
     pub key: tgw_order::Key,
     /// Seconds since the key was made, by the clocks of caller and VM; `None` if the key's time is in the
@@ -72,24 +80,35 @@
 
 /// The outcome of a leaf request, with the state of its group.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Told {
+pub struct Completion {
     /// The request.
     pub key: Key,
     /// Its outcome.
     pub outcome: Outcome,
     /// The snapshots that the group's upstreams hold, if known.
-    pub stock: Option<SnapshotCounts>,
+    #[serde(rename = "stock")]
+    pub snapshot_counts: Option<SnapshotCounts>,
     /// Sends to upstreams beyond the first.
-    pub extra: u8,
+    #[serde(rename = "extra")]
+    pub extra_sends: u8,
     /// Time in the queue.
-    pub waited: Millis,
+    #[serde(rename = "waited")]
+    pub queue_wait: Millis,
     /// Queued and running requests of the group, as a ratio of its slots.
-    pub pressure: f32,
+    #[serde(rename = "pressure")]
+    pub load_ratio: f32,
 }
 
-impl Told {
+impl Completion {
     /// An outcome of a request that was never queued.
-    pub fn bare(key: Key, outcome: Outcome) -> Self {
-        Self { key, outcome, stock: None, extra: 0, waited: Millis::ZERO, pressure: 0.0 }
+    pub fn unqueued(key: Key, outcome: Outcome) -> Self {
+        Self {
+            key,
+            outcome,
+            snapshot_counts: None,
+            extra_sends: 0,
+            queue_wait: Millis::ZERO,
+            load_ratio: 0.0,
+        }
     }
 }
--- a/crates/tgw-node/src/node.rs
+++ b/crates/tgw-node/src/node.rs
@@ -1,7 +1,7 @@
 use crate::{
-    event::{Input, Note, Options, Output, Tap},
+    event::{Decision, Input, Observer, Options, Output},
     groups::Groups,
-    message::{Ask, Message, Told},
+    message::{Completion, Message, Request},
     orders::{FIRST_ORDER_NUMBER, Orders},
 };
 use smallvec::SmallVec;
@@ -52,7 +52,7 @@
 pub struct Node {
     pub(crate) me: Vm,
     pub(crate) place: Place,
-    pub(crate) distance: Distance,
+    pub(crate) network_delays: Distance,
     pub(crate) dispatch: owner::Options,
     pub(crate) entry: Entry,
     pub(crate) orders: Orders,
@@ -72,7 +72,7 @@
     pub(crate) draining: bool,
     /// Whether the VM has learned of another VM, or has waited long enough to assume there is none.
     pub(crate) joined: bool,
-    pub(crate) observer: Option<Box<dyn Tap>>,
+    pub(crate) observer: Option<Box<dyn Observer>>,
 }
 
 impl Node {
@@ -81,7 +81,7 @@
         Self {
             me: options.entry.vm,
             place: options.place,
-            distance: options.distance,
+            network_delays: options.network_delays,
             dispatch: options.dispatch,
             orders: Orders::new(options.entry.vm, options.entry.incarnation),
             entry: Entry::new(options.entry),
@@ -128,7 +128,7 @@
     }
 
     /// Whether groups have owners, as the VM has learned of another VM or assumes that there is none.
-    pub fn joined(&self) -> bool {
+    pub fn has_joined(&self) -> bool {
         self.joined
     }
 
@@ -143,12 +143,12 @@
     }
 
     /// Requests in flight from this VM to an upstream.
-    pub fn running(&self, upstream: Upstream) -> usize {
+    pub fn in_flight(&self, upstream: Upstream) -> usize {
         self.owner.in_flight(upstream)
     }
 
     /// The health estimate of an upstream, if this VM dispatches to it.
-    pub fn belief(
+    pub fn estimate(
         &self,
         now: Millis,
         upstream: Upstream,
@@ -167,17 +167,17 @@
     }
 
     /// Whether no query, leaf request or order is pending.
-    pub fn idle(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.entry.pending() == 0 && self.owner.pending() == 0 && self.orders.pending() == 0
     }
 
     /// Passes all further inputs and outputs to an observer.
-    pub fn tap(&mut self, tap: Box<dyn Tap>) {
-        self.observer = Some(tap);
+    pub fn set_observer(&mut self, observer: Box<dyn Observer>) {
+        self.observer = Some(observer);
     }
 
     /// Handles one input at `now` and appends the outputs.
-    pub fn on(&mut self, now: Millis, input: Input, out: &mut Vec<Output>) {
+    pub fn handle(&mut self, now: Millis, input: Input, out: &mut Vec<Output>) {
         let from = out.len();
         if let Some(observer) = &mut self.observer {
             observer.input(now, &input);
@@ -190,20 +190,18 @@
 
     pub(crate) fn handle_input(&mut self, now: Millis, input: Input, out: &mut Vec<Output>) {
         match input {
-            Input::Submit { token, service, within, body } => {
-                self.handle_entry_event(
-                    now,
-                    Event::Submit { token, service, timeout: within, body },
-                    out,
-                );
+            Input::Submit { token, service, timeout, body } => {
+                self.handle_entry_event(now, Event::Submit { token, service, timeout, body }, out);
+            }
+            Input::CallerDisconnected(token) => {
+                self.handle_entry_event(now, Event::Abandon(token), out);
             }
-            Input::Abandon(token) => self.handle_entry_event(now, Event::Abandon(token), out),
-            Input::Peer(from, message) => self.handle_message(now, from, message, out),
-            Input::Lost(vm) => self.handle_vm_lost(now, vm, out),
-            Input::Done { ticket, result, held } => {
+            Input::MessageReceived(from, message) => self.handle_message(now, from, message, out),
+            Input::Disconnected(vm) => self.handle_vm_lost(now, vm, out),
+            Input::SendEnded { send_id, result, snapshots } => {
                 self.handle_owner_event(
                     now,
-                    owner::Event::SendEnded { send_id: ticket, result, snapshots: held },
+                    owner::Event::SendEnded { send_id, result, snapshots },
                     out,
                 );
             }
@@ -212,11 +210,15 @@
                 self.leaving.remove(&upstream);
                 self.handle_owner_event(now, owner::Event::Restarted(upstream), out);
             }
-            Input::Held(upstream, held) => {
-                self.handle_owner_event(now, owner::Event::SnapshotsReported(upstream, held), out);
+            Input::SnapshotsReported(upstream, snapshots) => {
+                self.handle_owner_event(
+                    now,
+                    owner::Event::SnapshotsReported(upstream, snapshots),
+                    out,
+                );
             }
             Input::Order(incoming) => self.submit_order(now, incoming, out),
-            Input::Store(event) => {
+            Input::StoreAnswered(event) => {
                 let effects = self.orders.run_worker(now, event);
                 self.apply_order_effects(now, effects, out);
             }
@@ -243,7 +245,7 @@
         out: &mut Vec<Output>,
     ) {
         match message {
-            Message::Ask(ask) => self.handle_request(now, from, ask, out),
+            Message::Request(request) => self.handle_request(now, from, request, out),
             Message::Cancel(key) => self.handle_owner_event(now, owner::Event::Cancel(key), out),
             Message::Outcome(completion) if completion.key.query.number >= FIRST_ORDER_NUMBER => {
                 let effects = self.orders.handle_outcome(now, &completion);
@@ -253,25 +255,32 @@
                 let effects = self.orders.handle_forwarded(now, from, order);
                 self.apply_order_effects(now, effects, out);
             }
-            Message::Ordered(number, outcome) => {
+            Message::OrderOutcome(number, outcome) => {
                 if let Some(token) = self.orders.remove_accepted(number) {
-                    out.push(Output::Ordered(token, outcome));
+                    out.push(Output::AnswerOrder(token, outcome));
                 }
             }
-            Message::Outcome(Told { key, outcome, stock, extra, waited, pressure }) => {
+            Message::Outcome(Completion {
+                key,
+                outcome,
+                snapshot_counts,
+                extra_sends,
+                queue_wait,
+                load_ratio,
+            }) => {
                 let event = Event::Outcome {
                     from,
                     key,
                     outcome,
-                    snapshot_counts: stock,
-                    extra_sends: extra,
-                    queue_wait: waited,
-                    load_ratio: pressure,
+                    snapshot_counts,
+                    extra_sends,
+                    queue_wait,
+                    load_ratio,
                 };
                 self.handle_entry_event(now, event, out);
             }
-            Message::Probe => out.push(Output::Tell(from, Message::Alive)),
-            Message::Alive => self.handle_entry_event(now, Event::MessageReceived(from), out),
+            Message::Probe => out.push(Output::SendMessage(from, Message::Heartbeat)),
+            Message::Heartbeat => self.handle_entry_event(now, Event::MessageReceived(from), out),
             Message::Leaving(upstream) => self.mark_leaving(now, upstream, false, out),
         }
     }
@@ -280,36 +289,51 @@
         &mut self,
         now: Millis,
         from: Vm,
-        ask: Ask,
+        request: Request,
         out: &mut Vec<Output>,
     ) {
         if from != self.me {
             self.working_for.insert(from);
         }
-        let Ask { group, stand_in, key, snapshot, left, patience, body, traced, work } = ask;
+        let Request {
+            group,
+            stand_in,
+            key,
+            snapshot,
+            remaining,
+            queue_timeout,
+            body,
+            log_decisions,
+            operation,
+        } = request;
         if stand_in {
             let effects = self.groups.stand_in(now, group);
             self.apply_group_effects(now, group, effects, "stands in: the owner is silent", out);
         }
         if !self.groups.serves(group) {
             let outcome = Outcome::Moved(self.owner_of(group).filter(|vm| *vm != self.me));
-            return self.send_message(now, from, Message::Outcome(Told::bare(key, outcome)), out);
+            return self.send_message(
+                now,
+                from,
+                Message::Outcome(Completion::unqueued(key, outcome)),
+                out,
+            );
         }
-        let replicas = match &work {
+        let replicas = match &operation {
             Operation::Search => {
                 self.catalog.replicas(group.service, snapshot.layout, key.shard).into()
             }
             Operation::Order(_) => self.upstreams(group),
         };
-        let give_back = patience.map(|p| now + p);
+        let queue_deadline = queue_timeout.map(|p| now + p);
         let leaf = Leaf {
             key,
             snapshot,
-            deadline: now + left,
-            queue_deadline: give_back,
+            deadline: now + remaining,
+            queue_deadline,
             body,
-            traced,
-            operation: work,
+            traced: log_decisions,
+            operation,
         };
         self.handle_owner_event(now, owner::Event::Request { group, replicas, leaf }, out);
     }
@@ -323,7 +347,7 @@
             table: self.table.as_deref(),
             owners: &owners,
             local_place: self.place,
-            network_delays: self.distance,
+            network_delays: self.network_delays,
         };
         work(&mut self.entry, &view)
     }
@@ -336,25 +360,27 @@
                 Action::Request { to, group, stand_in, leaf } => {
                     let Leaf { key, snapshot, deadline, queue_deadline, body, traced, operation } =
                         leaf;
-                    let left = deadline - now;
-                    let patience = queue_deadline.map(|at| at - now);
-                    let ask = Ask {
+                    let remaining = deadline - now;
+                    let queue_timeout = queue_deadline.map(|at| at - now);
+                    let request = Request {
                         group,
                         stand_in,
                         key,
                         snapshot,
-                        left,
-                        patience,
+                        remaining,
+                        queue_timeout,
                         body,
-                        traced,
-                        work: operation,
+                        log_decisions: traced,
+                        operation,
                     };
-                    self.send_message(now, to, Message::Ask(ask), out);
+                    self.send_message(now, to, Message::Request(request), out);
                 }
                 Action::Cancel { to, key } => self.send_message(now, to, Message::Cancel(key), out),
                 Action::Answer { token, answer } => out.push(Output::Answer(token, answer)),
                 Action::Refuse { token, refusal } => out.push(Output::Refuse(token, refusal)),
-                Action::LogDecision(note) => out.push(Output::Note(Note::Entry(note))),
+                Action::LogDecision(decision) => {
+                    out.push(Output::LogDecision(Decision::Query(decision)));
+                }
             }
         }
     }
@@ -370,10 +396,10 @@
         for action in actions {
             match action {
                 owner::Action::Send { send_id, upstream, leaf } => {
-                    out.push(Output::Send { ticket: send_id, upstream, leaf });
+                    out.push(Output::Send { send_id, upstream, leaf });
                 }
                 owner::Action::Cancel { send_id, upstream } => {
-                    out.push(Output::Abort { ticket: send_id, upstream });
+                    out.push(Output::Cancel { send_id, upstream });
                 }
                 owner::Action::Answer {
                     key,
@@ -383,21 +409,21 @@
                     queue_wait,
                     load_ratio,
                 } => {
-                    let completion = Told {
+                    let completion = Completion {
                         key,
                         outcome,
-                        stock: snapshot_counts,
-                        extra: extra_sends,
-                        waited: queue_wait,
-                        pressure: load_ratio,
+                        snapshot_counts,
+                        extra_sends,
+                        queue_wait,
+                        load_ratio,
                     };
                     self.send_message(now, key.from, Message::Outcome(completion), out);
                 }
-                owner::Action::LogDecision(note) => {
-                    if note.kind == owner::DecisionKind::Leaving {
-                        self.mark_leaving(now, note.upstream, true, out);
+                owner::Action::LogDecision(decision) => {
+                    if decision.kind == owner::DecisionKind::Leaving {
+                        self.mark_leaving(now, decision.upstream, true, out);
                     }
-                    out.push(Output::Note(Note::Dispatch(note)));
+                    out.push(Output::LogDecision(Decision::Dispatch(decision)));
                 }
             }
         }
@@ -414,7 +440,7 @@
         if to == self.me {
             self.handle_message(now, to, message, out);
         } else {
-            out.push(Output::Tell(to, message));
+            out.push(Output::SendMessage(to, message));
         }
     }
 
@@ -447,13 +473,13 @@
                 self.working_for.clear();
             }
             for vm in &self.working_for {
-                out.push(Output::Tell(*vm, Message::Alive));
+                out.push(Output::SendMessage(*vm, Message::Heartbeat));
             }
         }
         if now - self.probes_sent_at >= PROBE_INTERVAL_MS {
             self.probes_sent_at = now;
             for vm in self.entry.unresponsive_vms() {
-                out.push(Output::Tell(vm, Message::Probe));
+                out.push(Output::SendMessage(vm, Message::Probe));
             }
         }
     }
--- a/crates/tgw-node/src/order_requests.rs
+++ b/crates/tgw-node/src/order_requests.rs
@@ -1,5 +1,5 @@
 use crate::{
-    Intake, Node, Output,
+    IncomingOrder, Node, Output,
     orders::{self},
 };
 use tgw_clock::Millis;
@@ -10,8 +10,13 @@
 const RETRY_AFTER_MS: Millis = Millis::new(500);
 
 impl Node {
-    pub(crate) fn submit_order(&mut self, now: Millis, incoming: Intake, out: &mut Vec<Output>) {
-        let Intake { token, key, age_s: key_age_s, within, body } = incoming;
+    pub(crate) fn submit_order(
+        &mut self,
+        now: Millis,
+        incoming: IncomingOrder,
+        out: &mut Vec<Output>,
+    ) {
+        let IncomingOrder { token, key, key_age_s, timeout, body } = incoming;
         let name = self.catalog.services.get(&key.service).map(|s| &s.name);
         let row = name.and_then(|n| self.table.as_ref()?.rows.get(n));
         let refusal = match row {
@@ -26,7 +31,7 @@
             return out.push(Output::Refuse(token, Refusal { reason, retry_after }));
         }
         let deadline = row.map_or(Millis::ZERO, tgw_table::Row::deadline);
-        let deadline = now + within.map_or(deadline, |w| w.min(deadline));
+        let deadline = now + timeout.map_or(deadline, |t| t.min(deadline));
         let order = orders::NewOrder { token, key, key_age_s, deadline, body };
         let effects = self.orders.accept(now, order, &self.map);
         self.apply_order_effects(now, effects, out);
@@ -41,8 +46,10 @@
         for effect in effects {
             match effect {
                 orders::Effect::Send(to, message) => self.send_message(now, to, message, out),
-                orders::Effect::Answer(token, outcome) => out.push(Output::Ordered(token, outcome)),
-                orders::Effect::Store(action) => out.push(Output::Store(action)),
+                orders::Effect::Answer(token, outcome) => {
+                    out.push(Output::AnswerOrder(token, outcome));
+                }
+                orders::Effect::Store(action) => out.push(Output::CallStore(action)),
                 orders::Effect::Run(run) => {
                     let effects = self.send_order(now, run);
                     self.apply_order_effects(now, effects, out);
--- a/crates/tgw-node/src/orders.rs
+++ b/crates/tgw-node/src/orders.rs
@@ -1,4 +1,4 @@
-use crate::message::{Ask, Message, Order, Told};
+use crate::message::{Completion, Message, Order, Request};
 use bytes::Bytes;
 use smallvec::SmallVec;
 use std::collections::BTreeMap;
@@ -115,17 +115,22 @@
         accepted.claims_owner = Some(owner);
         let NewOrder { key, key_age_s, deadline, body, .. } = &accepted.order;
         let remaining = *deadline - now;
-        let order =
-            Order { number, key: *key, key_age_s: *key_age_s, remaining, body: body.clone() };
+        let order = Order {
+            request_id: number,
+            key: *key,
+            key_age_s: *key_age_s,
+            remaining,
+            body: body.clone(),
+        };
         vec![Effect::Send(owner, Message::Order(order))]
     }
 
     /// Handles a forwarded order at the VM that claims it.
     pub(crate) fn handle_forwarded(&mut self, now: Millis, from: Vm, order: Order) -> Vec<Effect> {
-        let Order { number, key, key_age_s, remaining, body } = order;
+        let Order { request_id, key, key_age_s, remaining, body } = order;
         let waiter = self.last_number + 1;
         self.last_number = waiter;
-        self.waiters.insert(waiter, (from, number));
+        self.waiters.insert(waiter, (from, request_id));
         self.bodies.entry(key).or_insert(body);
         let no_earlier_request = key_age_s.is_some_and(|age| {
             let since = self.bucket_owned_since.get(&key.bucket());
@@ -151,7 +156,7 @@
                 }
                 Action::Answer(waiter, outcome) => {
                     if let Some((vm, number)) = self.waiters.remove(&waiter) {
-                        effects.push(Effect::Send(vm, Message::Ordered(number, outcome)));
+                        effects.push(Effect::Send(vm, Message::OrderOutcome(number, outcome)));
                     }
                 }
                 store => effects.push(Effect::Store(store)),
@@ -178,23 +183,23 @@
         self.last_number += 1;
         let number = self.last_number;
         let query = Query { incarnation: self.incarnation, number };
-        let ask = Ask {
+        let request = Request {
             group,
             stand_in: false,
             key: LeafKey { from: self.me, query, shard: Shard(0), attempt: 0 },
             snapshot: Snapshot { version: 0, layout: Layout(0) },
-            left: deadline - now,
-            patience: None,
+            remaining: deadline - now,
+            queue_timeout: None,
             body: self.bodies.get(&key).cloned().unwrap_or_default(),
-            traced: true,
-            work: Operation::Order(key.claim_name()),
+            log_decisions: true,
+            operation: Operation::Order(key.claim_name()),
         };
         self.sent.insert(number, Sent { key, to: vm, deadline, tried });
-        vec![Effect::Send(vm, Message::Ask(ask))]
+        vec![Effect::Send(vm, Message::Request(request))]
     }
 
     /// Handles the outcome of an order sent to an owner.
-    pub(crate) fn handle_outcome(&mut self, now: Millis, completion: &Told) -> Vec<Effect> {
+    pub(crate) fn handle_outcome(&mut self, now: Millis, completion: &Completion) -> Vec<Effect> {
         if completion.key.query.incarnation != self.incarnation {
             return Vec::new();
         }
--- a/crates/tgw-node/src/ownership.rs
+++ b/crates/tgw-node/src/ownership.rs
@@ -1,7 +1,7 @@
 use crate::{
-    Message, Node, Note, Output, Placement,
+    Decision, Message, Node, Output, Placement,
     groups::{Effect, TAKEOVER_SLOT_SHARE},
-    message::Told,
+    message::Completion,
 };
 use smallvec::SmallVec;
 use std::{collections::BTreeSet, sync::Arc};
@@ -46,7 +46,7 @@
             recipients.extend(self.map.owners(node.group(), node.place));
         }
         for vm in recipients.into_iter().filter(|vm| *vm != self.me) {
-            out.push(Output::Tell(vm, Message::Leaving(upstream)));
+            out.push(Output::SendMessage(vm, Message::Leaving(upstream)));
         }
     }
 
@@ -172,13 +172,13 @@
                             load_ratio,
                         } = action
                         {
-                            let completion = Told {
+                            let completion = Completion {
                                 key,
                                 outcome,
-                                stock: snapshot_counts,
-                                extra: extra_sends,
-                                waited: queue_wait,
-                                pressure: load_ratio,
+                                snapshot_counts,
+                                extra_sends,
+                                queue_wait,
+                                load_ratio,
                             };
                             self.send_message(now, key.from, Message::Outcome(completion), out);
                         }
@@ -241,9 +241,14 @@
         self.index.get(group).map(|m| m.upstreams.clone()).unwrap_or_default()
     }
 
-    pub(crate) fn log_placement(&self, group: Group, what: &'static str, out: &mut Vec<Output>) {
+    pub(crate) fn log_placement(&self, group: Group, reason: &'static str, out: &mut Vec<Output>) {
         let owner = self.owner_of(group);
         let upstreams = self.upstreams(group);
-        out.push(Output::Note(Note::Placement(Placement { group, upstreams, owner, what })));
+        out.push(Output::LogDecision(Decision::Placement(Placement {
+            group,
+            upstreams,
+            owner,
+            reason,
+        })));
     }
 }
--- a/crates/tgw-node/tests/node.rs
+++ b/crates/tgw-node/tests/node.rs
@@ -7,7 +7,7 @@
 use tgw_dispatch::leaf::{Failure, Key, Operation, Outcome};
 use tgw_node::{
     Message,
-    message::{Ask, Order, Told},
+    message::{Completion, Order, Request},
 };
 use tgw_order::ledger::Reason;
 use tgw_topology::{Group, Layout, Query, Service, Shard, Snapshot, Upstream, Vm, place::Domain};
@@ -18,40 +18,40 @@
     let key = Key { from: Vm(1), query, shard: Shard(3), attempt: 2 };
     let snapshot = Snapshot { version: 4, layout: Layout(1) };
     let group = Group { service: Service(1), instance: 2, domain: Domain(3) };
-    let ask = |work| Ask {
+    let request = |operation| Request {
         group,
         stand_in: true,
         key,
         snapshot,
-        left: Millis::new(5),
-        patience: Some(Millis::new(1)),
+        remaining: Millis::new(5),
+        queue_timeout: Some(Millis::new(1)),
         body: Bytes::from_static(b"{}"),
-        traced: true,
-        work,
+        log_decisions: true,
+        operation,
     };
     let order_key =
         tgw_order::Key::parse(Service(1), "1800000000-a", 1_800_000_000).expect("valid");
     let order = Order {
-        number: 1,
+        request_id: 1,
         key: order_key,
         key_age_s: Some(1),
         remaining: Millis::new(5),
         body: Bytes::from_static(b"{}"),
     };
-    let outcome_message = |outcome| Message::Outcome(Told::bare(key, outcome));
+    let outcome_message = |outcome| Message::Outcome(Completion::unqueued(key, outcome));
     vec![
-        Message::Ask(ask(Operation::Search)),
-        Message::Ask(ask(Operation::Order("o".into()))),
+        Message::Request(request(Operation::Search)),
+        Message::Request(request(Operation::Order("o".into()))),
         Message::Cancel(key),
         outcome_message(Outcome::Items(Bytes::from_static(b"[]"))),
         outcome_message(Outcome::Failed(Failure::Malformed)),
         outcome_message(Outcome::Moved(Some(Vm(9)))),
-        Message::Alive,
+        Message::Heartbeat,
         Message::Probe,
         Message::Order(order),
-        Message::Ordered(1, tgw_order::Outcome::Ran { result: "{}".into() }),
-        Message::Ordered(2, tgw_order::Outcome::NotRun { reason: Reason::Deadline }),
-        Message::Ordered(3, tgw_order::Outcome::Unknown),
+        Message::OrderOutcome(1, tgw_order::Outcome::Ran { result: "{}".into() }),
+        Message::OrderOutcome(2, tgw_order::Outcome::NotRun { reason: Reason::Deadline }),
+        Message::OrderOutcome(3, tgw_order::Outcome::Unknown),
         Message::Leaving(Upstream(4)),
     ]
 }
--- a/crates/tgw-replay/src/render.rs
+++ b/crates/tgw-replay/src/render.rs
@@ -1,13 +1,13 @@
-use tgw_node::{Message, Note, Output, message::Told};
+use tgw_node::{Decision, Message, Output, message::Completion};
 
 /// Formats one output as it stands in a trace.
 pub fn render(output: &Output) -> String {
     match output {
-        Output::Tell(to, message) => format!("tell {to} {}", render_message(message)),
-        Output::Send { ticket, upstream, leaf } => {
-            format!("send t{ticket} {upstream} {} {}", leaf.key, leaf.snapshot)
+        Output::SendMessage(to, message) => format!("tell {to} {}", render_message(message)),
+        Output::Send { send_id, upstream, leaf } => {
+            format!("send t{send_id} {upstream} {} {}", leaf.key, leaf.snapshot)
         }
-        Output::Abort { ticket, upstream } => format!("abort t{ticket} {upstream}"),
+        Output::Cancel { send_id, upstream } => format!("abort t{send_id} {upstream}"),
         Output::Answer(token, answer) => {
             let missing: Vec<String> =
                 answer.coverage.missing.iter().map(|(s, why)| format!("{s}:{why}")).collect();
@@ -24,28 +24,31 @@
         Output::Refuse(token, refusal) => {
             format!("refuse {token} {} retry after {}", refusal.reason, refusal.retry_after)
         }
-        Output::Ordered(token, outcome) => format!("ordered {token} {outcome:?}"),
-        Output::Store(action) => format!("store {action:?}"),
+        Output::AnswerOrder(token, outcome) => format!("ordered {token} {outcome:?}"),
+        Output::CallStore(action) => format!("store {action:?}"),
         Output::Connect(upstreams) => format!("connect {upstreams:?}"),
         Output::Disconnect(upstreams) => format!("disconnect {upstreams:?}"),
-        Output::Note(note) => render_note(note),
+        Output::LogDecision(decision) => render_decision(decision),
     }
 }
 
 fn render_message(message: &Message) -> String {
     match message {
-        Message::Ask(ask) => {
-            let stand_in = if ask.stand_in { " as stand-in" } else { "" };
-            format!("ask {} {} {}{stand_in}", ask.group, ask.key, ask.snapshot)
+        Message::Request(request) => {
+            let stand_in = if request.stand_in { " as stand-in" } else { "" };
+            format!("ask {} {} {}{stand_in}", request.group, request.key, request.snapshot)
         }
         Message::Cancel(key) => format!("cancel {key}"),
-        Message::Outcome(Told { key, outcome, extra, waited, .. }) => {
-            format!("outcome {key} {} extra {extra} waited {waited}", render_outcome(outcome))
+        Message::Outcome(Completion { key, outcome, extra_sends, queue_wait, .. }) => {
+            format!(
+                "outcome {key} {} extra {extra_sends} waited {queue_wait}",
+                render_outcome(outcome)
+            )
         }
-        Message::Alive => "alive".into(),
+        Message::Heartbeat => "alive".into(),
         Message::Probe => "probe".into(),
-        Message::Order(order) => format!("order {} {}", order.number, order.key.claim_name()),
-        Message::Ordered(number, outcome) => format!("ordered {number} {outcome:?}"),
+        Message::Order(order) => format!("order {} {}", order.request_id, order.key.claim_name()),
+        Message::OrderOutcome(number, outcome) => format!("ordered {number} {outcome:?}"),
         Message::Leaving(upstream) => format!("leaving {upstream}"),
     }
 }
@@ -57,16 +60,19 @@
     }
 }
 
-fn render_note(note: &Note) -> String {
-    match note {
-        Note::Entry(note) => format!("note {} {}", note.query, note.kind),
-        Note::Dispatch(note) => {
-            let key = note.key.map(|k| k.to_string()).unwrap_or_default();
-            format!("note {key} {} {} passed {:?}", note.kind, note.upstream, note.skipped)
+fn render_decision(decision: &Decision) -> String {
+    match decision {
+        Decision::Query(decision) => format!("note {} {}", decision.query, decision.kind),
+        Decision::Dispatch(decision) => {
+            let key = decision.key.map(|k| k.to_string()).unwrap_or_default();
+            format!(
+                "note {key} {} {} passed {:?}",
+                decision.kind, decision.upstream, decision.skipped
+            )
         }
-        Note::Placement(place) => {
-            let owner = place.owner.map(|vm| vm.to_string()).unwrap_or_default();
-            format!("note {} owner {owner}: {}", place.group, place.what)
+        Decision::Placement(placement) => {
+            let owner = placement.owner.map(|vm| vm.to_string()).unwrap_or_default();
+            format!("note {} owner {owner}: {}", placement.group, placement.reason)
         }
     }
 }
--- a/crates/tgw-replay/src/trace.rs
+++ b/crates/tgw-replay/src/trace.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use std::io::{BufRead, Write};
 use tgw_clock::Millis;
-use tgw_node::{Identity, Input, Node, Options, Output, Tap};
+use tgw_node::{Identity, Input, Node, Observer, Options, Output};
 
 /// Version of the trace format.
 const FORMAT_VERSION: u32 = 1;
@@ -82,7 +82,7 @@
     }
 }
 
-impl<W: Write + Send> Tap for Recorder<W> {
+impl<W: Write + Send> Observer for Recorder<W> {
     fn input(&mut self, now: Millis, input: &Input) {
         self.pending = Some((now.as_micros(), input.clone()));
     }
@@ -137,7 +137,7 @@
         "line 1: unsupported format version {}",
         header.tanagergw_trace
     );
-    let mut node = Node::new(Options::shipped(&header.core));
+    let mut node = Node::new(Options::production(&header.core));
     let mut outcome = Outcome::default();
     for (index, line) in lines {
         let line = line?;
@@ -158,7 +158,7 @@
 
 fn feed(node: &mut Node, line: usize, step: Step, outcome: &mut Outcome) {
     let mut produced = Vec::new();
-    node.on(Millis::from_micros(step.at_us), step.input, &mut produced);
+    node.handle(Millis::from_micros(step.at_us), step.input, &mut produced);
     let got: Vec<String> = produced.iter().map(render).collect();
     outcome.inputs += 1;
     outcome.outputs += got.len() as u64;
--- a/crates/tgw-serve/src/log.rs
+++ b/crates/tgw-serve/src/log.rs
@@ -1,7 +1,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 use tgw_clock::Millis;
-use tgw_node::Note;
+use tgw_node::Decision;
 
 /// Queries whose decisions are kept for `explain`.
 const KEPT: usize = 4096;
@@ -55,23 +55,23 @@
         self.labels.insert(label.into(), query.into());
     }
 
-    pub(crate) fn note(&mut self, now: Millis, note: &Note) {
-        match note {
-            Note::Entry(note) => {
-                let query = note.query.to_string();
-                let (service, remaining) = (note.service, note.remaining.as_f64());
+    pub(crate) fn note(&mut self, now: Millis, decision: &Decision) {
+        match decision {
+            Decision::Query(decision) => {
+                let query = decision.query.to_string();
+                let (service, remaining) = (decision.service, decision.remaining.as_f64());
                 tracing::info!(target: "tgw::decision", %query, %service, left_ms = remaining,
-                    decision = %note.kind);
-                let text = format!("{} ({remaining:.1} ms left)", note.kind);
+                    decision = %decision.kind);
+                let text = format!("{} ({remaining:.1} ms left)", decision.kind);
                 self.keep(now, &query, "entry", text);
             }
-            Note::Dispatch(note) => {
-                let query = note.key.map(|k| k.query.to_string()).unwrap_or_default();
-                let (upstream, kind) = (note.upstream, note.kind);
+            Decision::Dispatch(decision) => {
+                let query = decision.key.map(|k| k.query.to_string()).unwrap_or_default();
+                let (upstream, kind) = (decision.upstream, decision.kind);
                 let passed: Vec<String> =
-                    note.skipped.iter().map(|(u, why)| format!("{u}: {why}")).collect();
+                    decision.skipped.iter().map(|(u, why)| format!("{u}: {why}")).collect();
                 let passed = passed.join(", ");
-                match note.key {
+                match decision.key {
                     Some(key) => {
                         let (shard, attempt) = (key.shard, key.attempt);
                         tracing::info!(target: "tgw::decision", %query, %shard, attempt,
@@ -86,10 +86,10 @@
                     }
                 }
             }
-            Note::Placement(place) => {
-                let owner = place.owner.map(|vm| vm.to_string()).unwrap_or_default();
-                tracing::info!(target: "tgw::placement", group = %place.group,
-                    upstreams = ?place.upstreams, owner, cause = place.what);
+            Decision::Placement(placement) => {
+                let owner = placement.owner.map(|vm| vm.to_string()).unwrap_or_default();
+                tracing::info!(target: "tgw::placement", group = %placement.group,
+                    upstreams = ?placement.upstreams, owner, cause = placement.reason);
             }
         }
     }
--- a/crates/tgw-serve/src/queries.rs
+++ b/crates/tgw-serve/src/queries.rs
@@ -10,7 +10,7 @@
 };
 use tgw_clock::{Clock, Freeze, Millis};
 use tgw_member::Force;
-use tgw_node::{Input, Intake, Message, Node, Output};
+use tgw_node::{IncomingOrder, Input, Message, Node, Output};
 use tgw_order::Key;
 use tgw_peer::{Command, Payload};
 use tgw_query::answer::{Refusal, RefusalReason};
@@ -95,7 +95,7 @@
         runtime.block_on(async move {
             let mut ticked = Instant::now();
             loop {
-                let period = if self.node.idle() { IDLE_TICK } else { TICK };
+                let period = if self.node.is_idle() { IDLE_TICK } else { TICK };
                 tokio::select! {
                     _ = stop.changed() => return,
                     () = sleep_until(ticked + period.into()) => {
@@ -117,7 +117,7 @@
         }
         if tick {
             self.abandoned(&mut out);
-            self.node.on(self.clock.now(), Input::Tick, &mut out);
+            self.node.handle(self.clock.now(), Input::Tick, &mut out);
             self.publish();
         }
         self.carry_out(out);
@@ -128,10 +128,10 @@
         let input = match work {
             Work::Search(search) => return self.search(now, search, out),
             Work::Order(order) => return self.order(now, order, out),
-            Work::Store(event) => Input::Store(event),
+            Work::Store(event) => Input::StoreAnswered(event),
             Work::Messages(from, messages) => {
                 for message in messages {
-                    self.node.on(now, Input::Peer(from, message), out);
+                    self.node.handle(now, Input::MessageReceived(from, message), out);
                 }
                 return;
             }
@@ -155,16 +155,18 @@
                 self.draining = true;
                 Input::Drain
             }
-            Work::Lost(vm) => Input::Lost(vm),
-            Work::Done { ticket, result, held } => Input::Done { ticket, result, held },
-            Work::Held(upstream, held) => Input::Held(upstream, held),
+            Work::Lost(vm) => Input::Disconnected(vm),
+            Work::Done { ticket, result, held } => {
+                Input::SendEnded { send_id: ticket, result, snapshots: held }
+            }
+            Work::Held(upstream, held) => Input::SnapshotsReported(upstream, held),
             Work::Leaving(upstream) => Input::Leaving(upstream),
             Work::Restarted(upstream) => Input::Restarted(upstream),
             Work::Catalog(catalog) => Input::Catalog(catalog),
             Work::Table(table) => Input::Table(table),
             Work::Directory(directory) => Input::Directory(directory),
         };
-        self.node.on(now, input, out);
+        self.node.handle(now, input, out);
     }
 
     fn search(&mut self, now: Millis, search: Search, out: &mut Vec<Output>) {
@@ -179,7 +181,7 @@
         let token = self.next;
         self.next += 1;
         self.replies.insert(token, (reply, label));
-        self.node.on(now, Input::Submit { token, service: id, within, body }, out);
+        self.node.handle(now, Input::Submit { token, service: id, timeout: within, body }, out);
     }
 
     fn order(&mut self, now: Millis, order: Order, out: &mut Vec<Output>) {
@@ -201,8 +203,12 @@
         let token = self.next;
         self.next += 1;
         self.replies.insert(token, (reply, None));
-        let age_s = now_s.checked_sub(key.made_s);
-        self.node.on(now, Input::Order(Intake { token, key, age_s, within, body }), out);
+        let key_age_s = now_s.checked_sub(key.made_s);
+        self.node.handle(
+            now,
+            Input::Order(IncomingOrder { token, key, key_age_s, timeout: within, body }),
+            out,
+        );
     }
 
     /// Callers that went away: their work is stopped.
@@ -211,19 +217,21 @@
             self.replies.iter().filter(|(_, r)| r.0.is_closed()).map(|(t, _)| *t).collect();
         for token in gone {
             self.replies.remove(&token);
-            self.node.on(self.clock.now(), Input::Abandon(token), out);
+            self.node.handle(self.clock.now(), Input::CallerDisconnected(token), out);
         }
     }
 
     fn carry_out(&mut self, out: Vec<Output>) {
-        let mut letters: BTreeMap<Vm, Vec<Message>> = BTreeMap::new();
+        let mut messages_by_vm: BTreeMap<Vm, Vec<Message>> = BTreeMap::new();
         for output in out {
             match output {
-                Output::Tell(to, message) => letters.entry(to).or_default().push(message),
-                Output::Send { ticket, upstream, leaf } => {
+                Output::SendMessage(to, message) => {
+                    messages_by_vm.entry(to).or_default().push(message);
+                }
+                Output::Send { send_id: ticket, upstream, leaf } => {
                     self.errand(Errand::Send { ticket, upstream, leaf });
                 }
-                Output::Abort { ticket, upstream } => {
+                Output::Cancel { send_id: ticket, upstream } => {
                     self.errand(Errand::Abort { ticket, upstream });
                 }
                 Output::Connect(upstreams) => {
@@ -249,22 +257,22 @@
                         let _ = reply.send(Said::Refusal(refusal));
                     }
                 }
-                Output::Ordered(token, outcome) => {
+                Output::AnswerOrder(token, outcome) => {
                     if let Some((reply, _)) = self.replies.remove(&token) {
                         let _ = reply.send(Said::Ordered(outcome));
                     }
                 }
-                Output::Store(action) => self.store(action),
-                Output::Note(note) => self.log.note(self.clock.now(), &note),
+                Output::CallStore(action) => self.store(action),
+                Output::LogDecision(decision) => self.log.note(self.clock.now(), &decision),
             }
         }
-        for (to, messages) in letters {
+        for (to, messages) in messages_by_vm {
             if self.peers.push(Command::Send(to, Payload::Messages(messages))).is_err() {
                 // The peers' ring is full: what was asked cannot reach the VM. The core is told that
                 // the way is lost and asks a stand-in or reports the shards missing.
                 let mut out = Vec::new();
-                self.node.on(self.clock.now(), Input::Lost(to), &mut out);
-                out.retain(|o| !matches!(o, Output::Tell(..)));
+                self.node.handle(self.clock.now(), Input::Disconnected(to), &mut out);
+                out.retain(|o| !matches!(o, Output::SendMessage(..)));
                 self.carry_out(out);
             }
         }
@@ -281,7 +289,7 @@
             _ => return,
         };
         let mut out = Vec::new();
-        self.node.on(self.clock.now(), Input::Store(event), &mut out);
+        self.node.handle(self.clock.now(), Input::StoreAnswered(event), &mut out);
         self.carry_out(out);
     }
 
@@ -289,8 +297,8 @@
         if let Err(Errand::Send { ticket, .. }) = self.errands.push(errand) {
             let mut out = Vec::new();
             let result = Err(tgw_dispatch::leaf::Failure::Connect);
-            let input = Input::Done { ticket, result, held: None };
-            self.node.on(self.clock.now(), input, &mut out);
+            let input = Input::SendEnded { send_id: ticket, result, snapshots: None };
+            self.node.handle(self.clock.now(), input, &mut out);
             self.carry_out(out);
         }
     }
@@ -305,7 +313,7 @@
     /// Whether new queries are taken.
     fn ready(&self) -> bool {
         // Until ownership is settled every leaf request would be turned away by this VM itself.
-        let known = self.node.joined() && self.node.table().is_some();
+        let known = self.node.has_joined() && self.node.table().is_some();
         known && !self.draining && !self.node.catalog().services.is_empty()
     }
 
@@ -327,7 +335,7 @@
         set(&gauges.members, self.node.directory().owners().count() as u64);
         set(&gauges.ring_core, self.depth.len() as u64);
         set(&gauges.ring_core_refused, self.depth.refused());
-        let idle = self.draining && self.node.idle() && self.replies.is_empty();
+        let idle = self.draining && self.node.is_idle() && self.replies.is_empty();
         self.idle.send_if_modified(|old| std::mem::replace(old, idle) != idle);
     }
 
@@ -389,8 +397,12 @@
                 .unwrap_or_default(),
             group: node.group().to_string(),
             owner: self.node.owner_of(node.group()).map(|vm| self.vm_name(vm)).unwrap_or_default(),
-            state: self.node.belief(now, node.id).map(|b| format!("{:?}", b.0)).unwrap_or_default(),
-            running: self.node.running(node.id),
+            state: self
+                .node
+                .estimate(now, node.id)
+                .map(|b| format!("{:?}", b.0))
+                .unwrap_or_default(),
+            running: self.node.in_flight(node.id),
             leaving: self.node.is_leaving(node.id),
         };
         catalog.upstreams.values().map(line).collect()
--- a/crates/tgw-serve/src/serve.rs
+++ b/crates/tgw-serve/src/serve.rs
@@ -19,11 +19,11 @@
 use tgw_dispatch::leaf::{Failure, Outcome};
 use tgw_member::Force;
 use tgw_node::{
-    Identity, Message, Node, Tap,
-    message::{Ask, Told},
+    Identity, Message, Node, Observer as CoreObserver,
+    message::{Completion, Request},
 };
 use tgw_owner::Directory;
-use tgw_peer::{Command, Direct, Frame, Network, Payload};
+use tgw_peer::{Command, Direct, Frame, Network, Observer, Payload};
 use tgw_platform::{Http, Store};
 use tgw_ring::{Receiver, Sender, pair};
 use tgw_settings::Settings;
@@ -59,7 +59,7 @@
 }
 
 /// Makes what listens to a core of this identity.
-pub type MakeTap = Box<dyn FnOnce(&Identity) -> anyhow::Result<Box<dyn Tap>> + Send>;
+pub type MakeTap = Box<dyn FnOnce(&Identity) -> anyhow::Result<Box<dyn CoreObserver>> + Send>;
 
 impl Options {
     /// Options of a process that runs on its settings alone.
@@ -162,7 +162,7 @@
     notices: Sender<Notice>,
 }
 
-impl tgw_peer::Observer for Sink {
+impl Observer for Sink {
     fn deliver(&self, frame: Frame) -> Result<(), Frame> {
         let Frame { from, incarnation, payload } = frame;
         let notice = match payload {
@@ -205,8 +205,8 @@
         // try elsewhere; outcomes and cancellations are lost, and the asker's timers deal with it.
         let Payload::Messages(messages) = payload else { return };
         let failed = messages.into_iter().filter_map(|message| match message {
-            Message::Ask(Ask { key, .. }) => {
-                Some(Message::Outcome(Told::bare(key, Outcome::Failed(Failure::Closed))))
+            Message::Request(Request { key, .. }) => {
+                Some(Message::Outcome(Completion::unqueued(key, Outcome::Failed(Failure::Closed))))
             }
             _ => None,
         });
@@ -245,9 +245,9 @@
     let peers = tgw_peer::bind(peer, outgoing_out, sink, stopped.clone())?;
 
     let identity = identity(&settings, vm, incarnation, place);
-    let mut node = Node::new(tgw_node::Options::shipped(&identity));
+    let mut node = Node::new(tgw_node::Options::production(&identity));
     if let Some(tap) = tap {
-        node.tap(tap(&identity)?);
+        node.set_observer(tap(&identity)?);
     }
     let ends = Ends { work, depth: core.clone(), errands, peers: outgoing.clone(), notices, idle };
     let (name, place) = (&settings.vm.name, place.to_string());
@@ -349,13 +349,14 @@
 fn identity(settings: &Settings, vm: Vm, incarnation: u64, place: Place) -> Identity {
     let us = |micros: u64| Millis::from_micros(micros).as_f64();
     let network = settings.network;
-    let distance = Distance {
+    let network_delays = Distance {
         local: us(network.local_us),
         domains: us(network.domains_us),
         regions: us(network.regions_us),
     };
-    let (places, sample) = (settings.listen.concurrency as u32, settings.log.sample);
-    Identity { vm, incarnation, place, distance, places, sample }
+    let (max_running, log_sample_interval) =
+        (settings.listen.concurrency as u32, settings.log.sample);
+    Identity { vm, incarnation, place, network_delays, max_running, log_sample_interval }
 }
 
 fn thread(name: &str, run: impl FnOnce() + Send + 'static) -> anyhow::Result<JoinHandle<()>> {
