--- a/crates/tgw-bench/src/answers.rs
+++ b/crates/tgw-bench/src/answers.rs
@@ -17,7 +17,7 @@
         let counts = (coverage.shards as u64, coverage.answered as u64);
         let took = self.now - pending.at;
         let name = name.unwrap_or_default();
-        self.collector.answer(pending.at, took, &name, answer.enough, counts);
+        self.collector.answer(pending.at, took, &name, answer.meets_least_coverage, counts);
     }
 
     /// Counts items that are doubled, mixed up or lost in an answer.
--- a/crates/tgw-bench/src/model.rs
+++ b/crates/tgw-bench/src/model.rs
@@ -24,7 +24,7 @@
     pub(crate) vm: usize,
     /// Generation of the sending VM; a restart of the VM raises it.
     pub(crate) generation: u32,
-    pub(crate) ticket: u64,
+    pub(crate) send_id: u64,
     pub(crate) leaf: Leaf,
 }
 
@@ -100,9 +100,9 @@
     }
 
     /// Cancels a request; returns whether it was still running or queued.
-    pub(crate) fn cancel(&mut self, vm: usize, ticket: u64) -> bool {
+    pub(crate) fn cancel(&mut self, vm: usize, send_id: u64) -> bool {
         let before = self.running.len() + self.queue.len();
-        let other = |j: &Job| j.vm != vm || j.ticket != ticket;
+        let other = |j: &Job| j.vm != vm || j.send_id != send_id;
         self.running.retain(|(_, j)| other(j));
         self.queue.retain(other);
         before != self.running.len() + self.queue.len()
--- a/crates/tgw-bench/src/policy.rs
+++ b/crates/tgw-bench/src/policy.rs
@@ -8,7 +8,7 @@
 use tgw_clock::Millis;
 use tgw_dispatch::{
     owner,
-    pick::{Candidate, Late, Least, Policy as SelectionPolicy, Random, RoundRobin},
+    policy::{Candidate, LateBinding, LeastLoad, Policy as SelectionPolicy, Random, RoundRobin},
 };
 use tgw_topology::{Group, Upstream};
 
@@ -74,7 +74,12 @@
     pub(crate) fn options(self) -> owner::Options {
         let hedge = if self.sends_hedges() { 1.0 } else { 0.0 };
         let suspect = matches!(self, Self::Tier | Self::TierNoHedge);
-        owner::Options { hedge, suspect, ramp: self == Self::Tier, ..owner::Options::default() }
+        owner::Options {
+            hedge_budget: hedge,
+            suspect_overdue: suspect,
+            slow_start: self == Self::Tier,
+            ..owner::Options::default()
+        }
     }
 
     pub(crate) fn selection(
@@ -85,8 +90,8 @@
     ) -> Box<dyn SelectionPolicy> {
         let own = seed ^ u64::from(group.instance) ^ u64::from(group.service.0) << 16;
         match self {
-            Self::Tier | Self::TierNoHedge | Self::TierNoSuspicion => Box::new(Late),
-            Self::OwnerEarly | Self::DirectLeast => Box::new(Least),
+            Self::Tier | Self::TierNoHedge | Self::TierNoSuspicion => Box::new(LateBinding),
+            Self::OwnerEarly | Self::DirectLeast => Box::new(LeastLoad),
             Self::DirectRandom => Box::new(Random::seeded(own)),
             Self::DirectShares => Box::new(RoundRobin::default()),
             Self::Oracle => Box::new(AvoidSlow(slow_upstreams.clone())),
@@ -121,9 +126,9 @@
         let fast: Vec<usize> =
             (0..candidates.len()).filter(|i| !self.0.is_slow(candidates[*i].upstream)).collect();
         if fast.is_empty() {
-            return Late.choose(now, candidates);
+            return LateBinding.choose(now, candidates);
         }
         let usable: Vec<Candidate> = fast.iter().map(|i| candidates[*i]).collect();
-        Late.choose(now, &usable).map(|chosen| fast[chosen])
+        LateBinding.choose(now, &usable).map(|chosen| fast[chosen])
     }
 }
--- a/crates/tgw-bench/src/serving.rs
+++ b/crates/tgw-bench/src/serving.rs
@@ -46,15 +46,15 @@
     pub(crate) fn reply(&mut self, index: usize, job: &Job, result: Result<Reply, Failure>) {
         let delay = self.delay_to_upstream(job.vm, index);
         let held = Some(self.upstreams[index].held.iter().copied().collect());
-        let Job { vm, generation, ticket, .. } = *job;
-        let event = |result| Event::Done { vm, generation, ticket, result, held };
+        let Job { vm, generation, send_id, .. } = *job;
+        let event = |result| Event::Done { vm, generation, send_id, result, held };
         match if self.mangles_replies { self.rng.random_range(0..10) } else { 10 } {
             0 => {
                 self.schedule_after(delay, event(result.clone()));
                 let held = Some(self.upstreams[index].held.iter().copied().collect());
                 self.schedule_after(
                     delay + 1.0,
-                    Event::Done { vm, generation, ticket, result, held },
+                    Event::Done { vm, generation, send_id, result, held },
                 );
             }
             1 => self.schedule_after(delay + LATE_REPLY_DELAY_MS, event(result)),
@@ -83,13 +83,13 @@
         }
     }
 
-    pub(crate) fn cancel(&mut self, index: usize, vm: usize, ticket: u64) {
-        if self.upstreams[index].cancel(vm, ticket) {
+    pub(crate) fn cancel(&mut self, index: usize, vm: usize, send_id: u64) {
+        if self.upstreams[index].cancel(vm, send_id) {
             let delay = self.delay_to_upstream(vm, index);
             let held = Some(self.upstreams[index].held.iter().copied().collect());
             let generation = self.vms[vm].generation;
             let result = Ok(Reply::Cancelled);
-            self.schedule_after(delay, Event::Done { vm, generation, ticket, result, held });
+            self.schedule_after(delay, Event::Done { vm, generation, send_id, result, held });
         }
         self.start_next(index);
     }
--- a/crates/tgw-bench/src/sim.rs
+++ b/crates/tgw-bench/src/sim.rs
@@ -19,7 +19,7 @@
 use tgw_clock::Millis;
 use tgw_dispatch::{
     Leaf,
-    leaf::{Failure, Held, Reply},
+    leaf::{Failure, HeldSnapshots, Reply},
 };
 use tgw_node::{Identity, Input, Message, Node, Options, Output};
 use tgw_owner::{Directory, Member, State};
@@ -63,14 +63,14 @@
     Cancel {
         upstream: usize,
         vm: usize,
-        ticket: u64,
+        send_id: u64,
     },
     Done {
         vm: usize,
         generation: u32,
-        ticket: u64,
+        send_id: u64,
         result: Result<Reply, Failure>,
-        held: Option<Held>,
+        held: Option<HeldSnapshots>,
     },
     Tick(usize, u32),
     Fault(usize),
@@ -198,16 +198,16 @@
             vm,
             incarnation: (index as u64 + 1) << 20 | u64::from(generation),
             place,
-            distance: self.distance,
-            places: self.setup.max_running,
-            sample: u64::from(self.setup.record.is_some()),
+            network_delays: self.distance,
+            max_running: self.setup.max_running,
+            log_sample_interval: u64::from(self.setup.record.is_some()),
         };
         let mut node = Node::new(self.options(&identity));
         let record = self.setup.record.as_ref().filter(|_| index == 0);
         let file = record.and_then(|path| File::create(path).ok());
         if let Some(recorder) = file.and_then(|f| Recorder::open(BufWriter::new(f), &identity).ok())
         {
-            node.tap(Box::new(recorder));
+            node.set_observer(Box::new(recorder));
         }
         VmState {
             node,
@@ -225,16 +225,16 @@
         let (policy, seed, slow_upstreams) =
             (self.policy, self.setup.seed, self.slow_upstreams.clone());
         if policy == Policy::Tier {
-            return Options::shipped(identity);
+            return Options::production(identity);
         }
         Options {
             entry: tgw_query::Options {
-                adapt: false,
-                hedge: policy.sends_hedges() && !policy.is_direct(),
-                ..Options::shipped(identity).entry
+                adaptive_limits: false,
+                hedge_across_groups: policy.sends_hedges() && !policy.is_direct(),
+                ..Options::production(identity).entry
             },
             place: identity.place,
-            distance: identity.distance,
+            network_delays: identity.network_delays,
             policy: Box::new(move |group| policy.selection(seed, &slow_upstreams, group)),
             dispatch: policy.options(),
         }
@@ -356,23 +356,23 @@
                 let partitioned = self.is_partitioned(self.vms[from].place, self.vms[to].place);
                 if self.vms[to].is_up && self.vms[to].generation == generation && !partitioned {
                     let sender = self.vms[from].vm;
-                    self.input(to, Input::Peer(sender, message));
+                    self.input(to, Input::MessageReceived(sender, message));
                 }
             }
             Event::ConnectionLost { at, vm } => {
                 let vm = self.vms[vm].vm;
-                self.input(at, Input::Lost(vm));
+                self.input(at, Input::Disconnected(vm));
             }
             Event::AtUpstream { upstream, job } => self.handle_at_upstream(upstream, &job),
             Event::Finish { upstream, run } => self.finish(upstream, run),
-            Event::Cancel { upstream, vm, ticket } => self.cancel(upstream, vm, ticket),
-            Event::Done { vm, generation, ticket, result, held } => {
+            Event::Cancel { upstream, vm, send_id } => self.cancel(upstream, vm, send_id),
+            Event::Done { vm, generation, send_id, result, held } => {
                 if self.is_deferred(vm, generation) {
-                    let event = Event::Done { vm, generation, ticket, result, held };
+                    let event = Event::Done { vm, generation, send_id, result, held };
                     return self.vms[vm].deferred.push(event);
                 }
                 if self.vms[vm].is_up && self.vms[vm].generation == generation {
-                    self.input(vm, Input::Done { ticket, result, held });
+                    self.input(vm, Input::SendEnded { send_id, result, snapshots: held });
                 }
             }
             Event::Tick(vm, generation) => {
@@ -423,12 +423,12 @@
         let pending = PendingQuery { service, at: self.now, body: token, measured };
         self.pending.insert((vm, token), pending);
         let body = Bytes::copy_from_slice(&token.to_le_bytes());
-        self.input(vm, Input::Submit { token, service, within: None, body });
+        self.input(vm, Input::Submit { token, service, timeout: None, body });
     }
 
     pub(crate) fn input(&mut self, vm: usize, input: Input) {
         let mut out = Vec::new();
-        self.vms[vm].node.on(self.now, input, &mut out);
+        self.vms[vm].node.handle(self.now, input, &mut out);
         for output in out {
             self.output(vm, output);
         }
@@ -436,21 +436,21 @@
 
     fn output(&mut self, vm: usize, output: Output) {
         match output {
-            Output::Tell(to, message) => self.send_message(vm, to, message),
-            Output::Send { ticket, upstream, leaf } => {
+            Output::SendMessage(to, message) => self.send_message(vm, to, message),
+            Output::Send { send_id, upstream, leaf } => {
                 if self.pending.get(&self.owner_of_query(&leaf)).is_some_and(|w| w.measured) {
                     self.collector.sent += 1;
                     self.sent_measured.insert(leaf.key.query);
                 }
                 let index = upstream.0 as usize;
                 let delay = self.delay_to_upstream(vm, index);
-                let job = Job { vm, generation: self.vms[vm].generation, ticket, leaf };
+                let job = Job { vm, generation: self.vms[vm].generation, send_id, leaf };
                 let partitioned =
                     self.is_partitioned(self.vms[vm].place, self.upstreams[index].node.place);
                 if partitioned {
                     let generation = self.vms[vm].generation;
                     let result = Err(Failure::Connect);
-                    let event = Event::Done { vm, generation, ticket, result, held: None };
+                    let event = Event::Done { vm, generation, send_id, result, held: None };
                     return self.schedule_after(RESET_DELAY_MS.as_f64(), event);
                 }
                 self.schedule_after(
@@ -458,10 +458,10 @@
                     Event::AtUpstream { upstream: index, job: Box::new(job) },
                 );
             }
-            Output::Abort { ticket, upstream } => {
+            Output::Cancel { send_id, upstream } => {
                 let upstream = upstream.0 as usize;
                 let delay = self.delay_to_upstream(vm, upstream);
-                self.schedule_after(delay, Event::Cancel { upstream, vm, ticket });
+                self.schedule_after(delay, Event::Cancel { upstream, vm, send_id });
             }
             Output::Answer(token, answer) => self.record_answer(vm, token, &answer),
             Output::Refuse(token, _) => {
@@ -471,11 +471,11 @@
                     self.collector.refused_after = self.collector.refused_after.max(after);
                 }
             }
-            Output::Ordered(..)
-            | Output::Store(_)
+            Output::AnswerOrder(..)
+            | Output::CallStore(_)
             | Output::Connect(_)
             | Output::Disconnect(_)
-            | Output::Note(_) => {}
+            | Output::LogDecision(_) => {}
         }
     }
 
--- a/crates/tgw-demo/src/links.rs
+++ b/crates/tgw-demo/src/links.rs
@@ -4,7 +4,7 @@
     sync::{Arc, RwLock},
 };
 use tgw_clock::Millis;
-use tgw_peer::{Network, Way};
+use tgw_peer::{Network, Reachability};
 use tgw_topology::{
     Place,
     place::{Domain, Latency},
@@ -58,12 +58,14 @@
 }
 
 impl Network for VmNetwork {
-    fn way(&self, to: SocketAddr) -> Way {
+    fn reachability(&self, to: SocketAddr) -> Reachability {
         let state = self.links.0.read().unwrap_or_else(std::sync::PoisonError::into_inner);
-        let Some(remote) = state.places.get(&to) else { return Way::Open(Millis::ZERO) };
+        let Some(remote) = state.places.get(&to) else {
+            return Reachability::Reachable(Millis::ZERO);
+        };
         if state.cut_links.contains(&(self.place.domain, remote.domain)) {
-            return Way::Cut;
+            return Reachability::Unreachable;
         }
-        Way::Open(Millis::from_f64(self.distance.between(self.place, *remote)))
+        Reachability::Reachable(Millis::from_f64(self.distance.between(self.place, *remote)))
     }
 }
--- a/crates/tgw-demo/src/load.rs
+++ b/crates/tgw-demo/src/load.rs
@@ -135,7 +135,7 @@
     ) {
         let now_s = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
         let text = format!("{now_s}-{}-{}", self.load.seed, self.number);
-        let Ok(key) = Key::read(self.service, &text, now_s) else { return };
+        let Ok(key) = Key::parse(self.service, &text, now_s) else { return };
         let first = self.send(entry, &text);
         let outcomes = match second_entry {
             Some(other) => {
@@ -146,7 +146,7 @@
         };
         let mut summary = summary.borrow_mut();
         for outcome in outcomes {
-            summary.order_replies.push(OrderReply { name: key.name(), outcome });
+            summary.order_replies.push(OrderReply { name: key.claim_name(), outcome });
         }
     }
 
--- a/crates/tgw-gateway/src/peers.rs
+++ b/crates/tgw-gateway/src/peers.rs
@@ -195,7 +195,7 @@
         for action in actions {
             match action {
                 start::Action::QueryVersions(addr) => {
-                    self.shared.packets.send(addr, &Datagram::VersionQuery)
+                    self.shared.packets.send(addr, &Datagram::VersionQuery);
                 }
                 start::Action::RequestState(addr) => self.request_state(addr, versions),
             }
@@ -249,7 +249,7 @@
                 quarantine::apply_update(&self.shared, from, &update);
             }
             Ok(Datagram::VersionReply(state)) => {
-                self.on_start_event(start::Event::VersionReply(from, state))
+                self.on_start_event(start::Event::VersionReply(from, state));
             }
             Err(error) => tracing::debug!(%error, %from, "packet refused"),
         }
--- a/crates/tgw-node/src/ownership.rs
+++ b/crates/tgw-node/src/ownership.rs
@@ -1,7 +1,7 @@
 use crate::{
-    Message, Node, Note, Output, Placement,
+    Decision, Message, Node, Output, Placement,
     groups::{Effect, TAKEOVER_SLOT_SHARE},
-    message::Told,
+    message::Completion,
 };
 use smallvec::SmallVec;
 use std::{collections::BTreeSet, sync::Arc};
@@ -46,7 +46,7 @@
             recipients.extend(self.assignment.owners(node.group(), node.place));
         }
         for vm in recipients.into_iter().filter(|vm| *vm != self.me) {
-            out.push(Output::Tell(vm, Message::Leaving(upstream)));
+            out.push(Output::SendMessage(vm, Message::Leaving(upstream)));
         }
     }
 
@@ -104,7 +104,7 @@
     pub(crate) fn handle_pause(&mut self, now: Millis, out: &mut Vec<Output>) {
         self.orders.restart_ownership(now);
         for group in self.groups.restart_takeovers(now) {
-            self.owner.share(group, TAKEOVER_SLOT_SHARE);
+            self.owner.set_slot_share(group, TAKEOVER_SLOT_SHARE);
             self.log_placement(group, "resumed after a pause with half of the slots", out);
         }
     }
@@ -157,7 +157,7 @@
                     self.serve_group(now, group, out);
                     self.log_placement(group, why, out);
                 }
-                Effect::SetSlotShare(share) => self.owner.share(group, share),
+                Effect::SetSlotShare(share) => self.owner.set_slot_share(group, share),
                 Effect::HandOver(to) => {
                     let mut actions = Vec::new();
                     self.owner.hand_over(group, to, &mut actions);
@@ -165,20 +165,27 @@
                         if let owner::Action::Answer {
                             key,
                             outcome,
-                            stock,
-                            extra,
-                            waited,
-                            pressure,
+                            snapshot_counts,
+                            extra_sends,
+                            queue_wait,
+                            load_ratio,
                         } = action
                         {
-                            let completion = Told { key, outcome, stock, extra, waited, pressure };
+                            let completion = Completion {
+                                key,
+                                outcome,
+                                snapshot_counts,
+                                extra_sends,
+                                queue_wait,
+                                load_ratio,
+                            };
                             self.send_message(now, key.from, Message::Outcome(completion), out);
                         }
                     }
                     self.log_placement(group, why, out);
                 }
                 Effect::Remove => {
-                    if self.owner.forget(group) {
+                    if self.owner.remove_idle_group(group) {
                         self.groups.remove(group);
                         out.push(Output::Disconnect(self.upstreams(group)));
                     }
@@ -194,7 +201,7 @@
         let catalog = self.catalog.clone();
         let nodes: Vec<&UpstreamEntry> =
             upstreams.iter().filter_map(|u| catalog.upstreams.get(u)).collect();
-        self.owner.take(group, &nodes, &options);
+        self.owner.serve_group(group, &nodes, &options);
     }
 
     pub(crate) fn serve_group(&mut self, now: Millis, group: Group, out: &mut Vec<Output>) {
@@ -222,9 +229,9 @@
         let name = self.catalog.services.get(&group.service).map(|s| &s.name);
         let row = name.and_then(|n| self.table.as_ref()?.rows.get(n));
         if let Some(row) = row {
-            options.hedge = options.hedge.min(row.hedge_pct / 100.0);
-            options.retry = row.retry_pct / 100.0;
-            options.attempts = row.attempts;
+            options.hedge_budget = options.hedge_budget.min(row.hedge_pct / 100.0);
+            options.retry_budget = row.retry_pct / 100.0;
+            options.max_attempts = row.attempts;
         }
         options
     }
@@ -233,9 +240,14 @@
         self.index.get(group).map(|m| m.upstreams.clone()).unwrap_or_default()
     }
 
-    pub(crate) fn log_placement(&self, group: Group, what: &'static str, out: &mut Vec<Output>) {
+    pub(crate) fn log_placement(&self, group: Group, reason: &'static str, out: &mut Vec<Output>) {
         let owner = self.owner_of(group);
         let upstreams = self.upstreams(group);
-        out.push(Output::Note(Note::Placement(Placement { group, upstreams, owner, what })));
+        out.push(Output::LogDecision(Decision::Placement(Placement {
+            group,
+            upstreams,
+            owner,
+            reason,
+        })));
     }
 }
--- a/crates/tgw-serve/src/upstreams.rs
+++ b/crates/tgw-serve/src/upstreams.rs
@@ -12,7 +12,7 @@
 use tgw_clock::{Clock, Freeze, Millis};
 use tgw_dispatch::{
     Leaf,
-    leaf::{Failure, Reply, Work as Operation},
+    leaf::{Failure, Operation, Reply},
 };
 use tgw_ring::{Receiver, Sender};
 use tgw_topology::Upstream;
@@ -170,7 +170,7 @@
     async fn send(self: Rc<Self>, send_id: u64, upstream: Upstream, leaf: Leaf) {
         let client = self.upstreams.borrow().get(&upstream).map(|e| e.client.clone());
         let done = match client {
-            Some(client) if leaf.once() => self.order(client, send_id, leaf).await,
+            Some(client) if leaf.is_order() => self.order(client, send_id, leaf).await,
             Some(client) => {
                 let search = Search {
                     request: self.request_id(send_id),
@@ -191,7 +191,7 @@
     }
 
     async fn order(&self, client: Client, send_id: u64, leaf: Leaf) -> CoreMessage {
-        let Operation::Order(name) = &leaf.work else {
+        let Operation::Order(name) = &leaf.operation else {
             return CoreMessage::SendEnded {
                 send_id,
                 result: Err(Failure::Connect),
--- a/crates/tgw-upstream/src/protocol.rs
+++ b/crates/tgw-upstream/src/protocol.rs
@@ -1,7 +1,7 @@
 //! The paths, headers and reasons of the upstreams' protocol, which `docs/API.md` describes.
 
 use hyper::header::HeaderName;
-use tgw_dispatch::leaf::Held;
+use tgw_dispatch::leaf::HeldSnapshots;
 use tgw_topology::{Layout, Snapshot};
 
 /// Searches one shard.
@@ -60,6 +60,6 @@
 }
 
 /// Parses a list of snapshots; `None` if any of them is malformed.
-pub fn read_snapshots(text: &str) -> Option<Held> {
+pub fn read_snapshots(text: &str) -> Option<HeldSnapshots> {
     text.split(',').filter(|s| !s.trim().is_empty()).map(read_snapshot).collect()
 }
--- a/crates/tgw-upstream/src/reply.rs
+++ b/crates/tgw-upstream/src/reply.rs
@@ -2,7 +2,7 @@
 use bytes::Bytes;
 use hyper::{HeaderMap, StatusCode, header::HeaderName};
 use serde_json::value::RawValue;
-use tgw_dispatch::leaf::{Failure, Held, Reply};
+use tgw_dispatch::leaf::{Failure, HeldSnapshots, Reply};
 use tgw_topology::Shard;
 
 /// Decodes a reply from its status, headers and body. Fails if the reply does not follow the protocol.
@@ -34,7 +34,7 @@
 }
 
 /// The snapshots that the upstream holds according to the reply.
-pub(crate) fn held_snapshots(headers: &HeaderMap) -> Option<Held> {
+pub(crate) fn held_snapshots(headers: &HeaderMap) -> Option<HeldSnapshots> {
     header(headers, protocol::HELD).and_then(protocol::read_snapshots)
 }
 
