--- a/crates/tgw-bench/src/slopes.rs
+++ b/crates/tgw-bench/src/slopes.rs
@@ -10,10 +10,10 @@
     time::Instant,
 };
 use tgw_clock::Millis;
-use tgw_dispatch::leaf::{Key, Outcome, Work};
+use tgw_dispatch::leaf::{Key, Operation, Outcome};
 use tgw_node::{
     Message,
-    message::{Ask, Told},
+    message::{Completion, Request},
 };
 use tgw_owner::{Assignment, Directory, Member, State};
 use tgw_standin::size::{Spread, User};
@@ -157,19 +157,20 @@
 fn frames() -> Vec<Cost> {
     let query = Query { incarnation: 1 << 40, number: 1 << 20 };
     let key = Key { from: Vm::from_name("vm"), query, shard: Shard(50), attempt: 0 };
-    let request = Message::Ask(Ask {
+    let request = Message::Request(Request {
         group: Group { service: Service(100), instance: 50, domain: Domain(10) },
         stand_in: false,
         key,
         snapshot: Snapshot { version: 1000, layout: Layout(3) },
-        left: Millis::new(150),
-        patience: None,
+        remaining: Millis::new(150),
+        queue_timeout: None,
         body: vec![b'x'; 100].into(),
-        traced: false,
-        work: Work::Search,
+        log_decisions: false,
+        operation: Operation::Search,
     });
-    let mut reply = Told::bare(key, Outcome::Items(vec![b'x'; 300].into()));
-    reply.stock = Some([(Snapshot { version: 1000, layout: Layout(3) }, 3)].into_iter().collect());
+    let mut reply = Completion::unqueued(key, Outcome::Items(vec![b'x'; 300].into()));
+    reply.snapshot_counts =
+        Some([(Snapshot { version: 1000, layout: Layout(3) }, 3)].into_iter().collect());
     let outcome = Message::Outcome(reply);
     let keys = Keys::new([1; 32], None);
     let size =
--- a/crates/tgw-query/src/tracker.rs
+++ b/crates/tgw-query/src/tracker.rs
@@ -1,7 +1,7 @@
-use crate::{snapshot::CachedChoice, step::View};
+use crate::{event::View, snapshot::CachedChoice};
 use std::collections::BTreeMap;
 use tgw_clock::Millis;
-use tgw_dispatch::leaf::{Held, Stock};
+use tgw_dispatch::leaf::{HeldSnapshots, SnapshotCounts};
 use tgw_tail::Average;
 use tgw_topology::{Group, Service, Snapshot, Vm};
 
@@ -37,9 +37,9 @@
     updated_at: Millis,
     /// Number of attempts in flight by the time they were sent.
     in_flight: BTreeMap<Millis, u32>,
-    snapshot_counts: Option<Stock>,
+    snapshot_counts: Option<SnapshotCounts>,
     /// Snapshots reported as not held since the group last listed its snapshots.
-    missing_snapshots: Held,
+    missing_snapshots: HeldSnapshots,
     /// Until when the group is avoided after failures, and for how long after the next one.
     avoid_until: Millis,
     avoidance: Millis,
@@ -95,7 +95,12 @@
     }
 
     /// Records the snapshots that a group holds.
-    pub(crate) fn record_snapshots(&mut self, now: Millis, group: Group, snapshot_counts: Stock) {
+    pub(crate) fn record_snapshots(
+        &mut self,
+        now: Millis,
+        group: Group,
+        snapshot_counts: SnapshotCounts,
+    ) {
         let group_state = self.group_state_mut(now, group);
         if group_state.snapshot_counts.as_ref() != Some(&snapshot_counts)
             || !group_state.missing_snapshots.is_empty()
@@ -128,8 +133,9 @@
 
     /// Expected time until an answer from a group, in milliseconds.
     pub(crate) fn estimate_ms(&self, now: Millis, group: Group, view: &View<'_>) -> f64 {
-        let place = view.index.get(group).map_or(view.here, |m| m.place);
-        let base_ms = 2.0 * view.distance.between(view.here, place) + INITIAL_SERVICE_TIME_MS;
+        let place = view.index.get(group).map_or(view.local_place, |m| m.place);
+        let base_ms =
+            2.0 * view.network_delays.between(view.local_place, place) + INITIAL_SERVICE_TIME_MS;
         let Some(group_state) = self.groups.get(&group) else { return base_ms };
         let age_ms = (now - group_state.updated_at).as_f64();
         let latency_ms =
@@ -218,8 +224,9 @@
     pub(crate) fn detect_unresponsive(&mut self, now: Millis, view: &View<'_>) -> Vec<Vm> {
         let mut unresponsive = Vec::new();
         for (vm, vm_state) in &mut self.vms {
-            let place = view.owners.place(*vm).unwrap_or(view.here);
-            let round_trip = Millis::from_f64(2.0 * view.distance.between(view.here, place));
+            let place = view.owners.place(*vm).unwrap_or(view.local_place);
+            let round_trip =
+                Millis::from_f64(2.0 * view.network_delays.between(view.local_place, place));
             let quiet_for = now - vm_state.last_message_at.max(vm_state.awaiting_since);
             if !vm_state.unresponsive
                 && vm_state.in_flight > 0
@@ -239,7 +246,7 @@
             updated_at: now,
             in_flight: BTreeMap::new(),
             snapshot_counts: None,
-            missing_snapshots: Held::new(),
+            missing_snapshots: HeldSnapshots::new(),
             avoid_until: Millis::ZERO,
             avoidance: MIN_AVOIDANCE_MS,
         })
--- a/crates/tgw-serve/src/callers.rs
+++ b/crates/tgw-serve/src/callers.rs
@@ -21,7 +21,7 @@
 use tgw_order::Outcome;
 use tgw_query::{
     Answer,
-    answer::{Cause, Refusal},
+    answer::{Refusal, RefusalReason},
 };
 use tgw_ring::Sender;
 use tokio::sync::oneshot;
@@ -78,7 +78,8 @@
     if callers.core.push(CoreMessage::Search(search)).is_err() {
         // The ring to the core is full. Nothing was sent for this query, so it is safe to report that it
         // was not run.
-        let refusal = Refusal { reason: Cause::Busy, retry_after: RING_FULL_RETRY_AFTER_MS };
+        let refusal =
+            Refusal { reason: RefusalReason::Busy, retry_after: RING_FULL_RETRY_AFTER_MS };
         return refusal_response(&callers, &service, &refusal);
     }
     match receiver.await {
@@ -111,7 +112,8 @@
     let now_s = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
     let order = Order { service: service.clone(), key, now_s, timeout, body, reply };
     if callers.core.push(CoreMessage::Order(order)).is_err() {
-        let refusal = Refusal { reason: Cause::Busy, retry_after: RING_FULL_RETRY_AFTER_MS };
+        let refusal =
+            Refusal { reason: RefusalReason::Busy, retry_after: RING_FULL_RETRY_AFTER_MS };
         return refusal_response(&callers, &service, &refusal);
     }
     match receiver.await {
@@ -236,11 +238,12 @@
 fn refusal_response(callers: &Callers, service: &str, refusal: &Refusal) -> Response {
     callers.metrics.record_refusal(service, &refusal.reason.to_string());
     let status = match refusal.reason {
-        Cause::UnknownService | Cause::NoOrders => StatusCode::NOT_FOUND,
-        Cause::Busy => StatusCode::TOO_MANY_REQUESTS,
-        Cause::NotReady | Cause::Deadline | Cause::Draining | Cause::NoSnapshot => {
-            StatusCode::SERVICE_UNAVAILABLE
-        }
+        RefusalReason::UnknownService | RefusalReason::NoOrders => StatusCode::NOT_FOUND,
+        RefusalReason::Busy => StatusCode::TOO_MANY_REQUESTS,
+        RefusalReason::NotReady
+        | RefusalReason::Deadline
+        | RefusalReason::Draining
+        | RefusalReason::NoSnapshot => StatusCode::SERVICE_UNAVAILABLE,
     };
     let after = refusal.retry_after.whole();
     let reason = refusal.reason.to_string();
@@ -258,9 +261,10 @@
     label: Option<&str>,
 ) -> Response {
     let labels = [KeyValue::new("service", service.to_owned())];
-    callers.metrics.latency.record(answer.took.as_f64(), &labels);
-    callers.metrics.coverage.record(answer.coverage.part(), &labels);
-    let status = if answer.enough { StatusCode::OK } else { StatusCode::GATEWAY_TIMEOUT };
+    callers.metrics.latency.record(answer.elapsed.as_f64(), &labels);
+    callers.metrics.coverage.record(answer.coverage.ratio(), &labels);
+    let status =
+        if answer.meets_least_coverage { StatusCode::OK } else { StatusCode::GATEWAY_TIMEOUT };
     let json = HeaderValue::from_static("application/json");
     (status, [(header::CONTENT_TYPE, json)], encode_answer(answer, label)).into_response()
 }
@@ -282,9 +286,9 @@
             "answered": answer.coverage.answered,
             "missing": missing,
         },
-        "took_ms": (answer.took.as_f64() * 1000.0).round() / 1000.0,
+        "took_ms": (answer.elapsed.as_f64() * 1000.0).round() / 1000.0,
     });
-    if !answer.enough {
+    if !answer.meets_least_coverage {
         head["outcome"] = json!("short");
         head["reason"] = json!("least_coverage");
     }
--- a/crates/tgw-serve/src/config.rs
+++ b/crates/tgw-serve/src/config.rs
@@ -11,8 +11,8 @@
     sync::{Arc, atomic::Ordering},
 };
 use tgw_clock::{Clock, Millis};
-use tgw_order::{Action, Event, Ledger, Stored};
-use tgw_peer::{Outgoing, Parcel};
+use tgw_order::{Action, Event, Ledger, WriteOutcome};
+use tgw_peer::{Command, Payload};
 use tgw_platform::{Error, Expect, Object, Store, Version, object::List};
 use tgw_ring::{Receiver, Sender};
 use tgw_table::{Document, adopt};
@@ -51,7 +51,7 @@
 struct Worker {
     store: Arc<dyn Store>,
     core: Sender<CoreMessage>,
-    peers: Sender<Outgoing>,
+    peers: Sender<Command>,
     gauges: Arc<Gauges>,
     clock: Arc<dyn Clock>,
     table: RefCell<adopt::State>,
@@ -65,7 +65,7 @@
 pub(crate) fn run(
     store: Arc<dyn Store>,
     core: Sender<CoreMessage>,
-    peers: Sender<Outgoing>,
+    peers: Sender<Command>,
     messages: Receiver<ConfigMessage>,
     gauges: Arc<Gauges>,
     clock: Arc<dyn Clock>,
@@ -204,7 +204,7 @@
         if let Some(document) = table.document() {
             tracing::info!(target: "tgw::table", edit = document.edition, source, "table in force");
             let _ = self.core.push(CoreMessage::Table(document.clone()));
-            let _ = self.peers.push(Outgoing::Edit(document.edition));
+            let _ = self.peers.push(Command::Edition(document.edition));
         }
     }
 
@@ -212,7 +212,7 @@
         let mut catalog = self.catalog.borrow_mut();
         if catalog.merge(version, services) {
             let _ = self.core.push(CoreMessage::Catalog(Arc::new(catalog.clone())));
-            let _ = self.peers.push(Outgoing::World(catalog.version));
+            let _ = self.peers.push(Command::CatalogVersion(catalog.version));
         }
     }
 
@@ -224,7 +224,7 @@
                 None => vms.remove(&name),
             };
         }
-        let _ = self.peers.push(Outgoing::Seeds(vms.values().copied().collect()));
+        let _ = self.peers.push(Command::Seeds(vms.values().copied().collect()));
     }
 
     fn handle(&self, message: ConfigMessage) {
@@ -254,17 +254,17 @@
                 let expect = if version == 0 { Expect::Absent } else { Expect::At(version) };
                 let Ok(value) = serde_json::to_value(&ledger) else { return };
                 let put = self.store.put(CLAIM_KIND, &object, expect, &value).await;
-                let stored = match self.count_call(put) {
-                    Ok(version) => Stored::Done(version),
-                    Err(Error::Conflict { .. }) => Stored::Conflict,
-                    Err(Error::Unavailable { .. }) => Stored::Unavailable,
-                    Err(Error::Gone | Error::Unknown { .. }) => Stored::Unknown,
+                let outcome = match self.count_call(put) {
+                    Ok(version) => WriteOutcome::Done(version),
+                    Err(Error::Conflict { .. }) => WriteOutcome::Conflict,
+                    Err(Error::Unavailable { .. }) => WriteOutcome::Unavailable,
+                    Err(Error::Gone | Error::Unknown { .. }) => WriteOutcome::Unknown,
                 };
-                Event::Stored(object, stored)
+                Event::WriteDone(object, outcome)
             }
             Action::Get(object) => {
                 let read = self.count_call(self.store.get(CLAIM_KIND, &object).await);
-                Event::Read(object, read.map_err(|_| ()).and_then(decode_claims))
+                Event::ReadDone(object, read.map_err(|_| ()).and_then(decode_claims))
             }
             Action::Expire(object) => {
                 if let Ok(Some(found)) = self.count_call(self.store.get(CLAIM_KIND, &object).await)
@@ -274,7 +274,7 @@
                 }
                 return;
             }
-            Action::Run(..) | Action::Tell(..) => return,
+            Action::Run(..) | Action::Answer(..) => return,
         };
         // The claims worker waits for this reply, so it must not be dropped. The number of its calls in
         // flight is bounded.
@@ -295,20 +295,21 @@
             (self.table.borrow().edition(), self.catalog.borrow().version);
         let _ = self
             .peers
-            .push(Outgoing::Parcel(vm, Parcel::Ask { edit: edition, world: catalog_version }));
+            .push(Command::Send(vm, Payload::RequestUpdates { edition, catalog_version }));
     }
 
     fn send_updates(&self, from: Vm, edition: u64, catalog_version: Version) {
         let table = self.table.borrow();
         if let Some(document) = table.document().filter(|d| d.edition > edition) {
             let delta = document.delta(edition);
-            let _ = self.peers.push(Outgoing::Parcel(from, Parcel::Table(delta)));
+            let _ = self.peers.push(Command::Send(from, Payload::TableUpdate(delta)));
         }
         let catalog = self.catalog.borrow();
         if catalog.version > catalog_version {
             let (version, services) = (catalog.version, catalog.changed_since(catalog_version));
-            let _ =
-                self.peers.push(Outgoing::Parcel(from, Parcel::World { version, parts: services }));
+            let _ = self
+                .peers
+                .push(Command::Send(from, Payload::CatalogUpdate { version, updates: services }));
         }
     }
 }
--- a/crates/tgw-serve/src/messages.rs
+++ b/crates/tgw-serve/src/messages.rs
@@ -4,7 +4,7 @@
 use tgw_clock::Millis;
 use tgw_dispatch::{
     Leaf,
-    leaf::{Failure, Held, Reply},
+    leaf::{Failure, HeldSnapshots, Reply},
 };
 use tgw_member::Rollout;
 use tgw_node::Message;
@@ -54,8 +54,8 @@
     StoreReply(tgw_order::Event),
     Messages(Vm, Vec<Message>),
     Disconnected(Vm),
-    SendEnded { send_id: u64, result: Result<Reply, Failure>, snapshots: Option<Held> },
-    SnapshotsReported(Upstream, Held),
+    SendEnded { send_id: u64, result: Result<Reply, Failure>, snapshots: Option<HeldSnapshots> },
+    SnapshotsReported(Upstream, HeldSnapshots),
     Leaving(Upstream),
     Restarted(Upstream),
     Catalog(Arc<Catalog>),
--- a/crates/tgw-serve/src/queries.rs
+++ b/crates/tgw-serve/src/queries.rs
@@ -10,10 +10,10 @@
 };
 use tgw_clock::{Clock, Freeze, Millis};
 use tgw_member::Rollout;
-use tgw_node::{Input, Intake, Message, Node, Output};
+use tgw_node::{IncomingOrder, Input, Message, Node, Output};
 use tgw_order::Key;
-use tgw_peer::{Outgoing, Parcel};
-use tgw_query::answer::{Cause, Refusal};
+use tgw_peer::{Command as PeerCommand, Payload};
+use tgw_query::answer::{Refusal, RefusalReason};
 use tgw_ring::{Receiver, Sender};
 use tgw_topology::{Upstream, Vm, place::Domain};
 use tokio::{
@@ -41,7 +41,7 @@
     /// The sending end of the same ring, read for its length and its count of rejected messages.
     pub(crate) core_sender: Sender<CoreMessage>,
     pub(crate) commands: Sender<Command>,
-    pub(crate) peers: Sender<Outgoing>,
+    pub(crate) peers: Sender<PeerCommand>,
     pub(crate) config: Sender<ConfigMessage>,
     pub(crate) log: Log,
     pub(crate) idle: watch::Sender<bool>,
@@ -56,7 +56,7 @@
     pub(crate) receiver: Receiver<CoreMessage>,
     pub(crate) core_sender: Sender<CoreMessage>,
     pub(crate) commands: Sender<Command>,
-    pub(crate) peers: Sender<Outgoing>,
+    pub(crate) peers: Sender<PeerCommand>,
     pub(crate) config: Sender<ConfigMessage>,
     pub(crate) idle: watch::Sender<bool>,
 }
@@ -98,7 +98,7 @@
             let mut ticked = Instant::now();
             loop {
                 let period =
-                    if self.node.idle() { IDLE_TICK_INTERVAL_MS } else { TICK_INTERVAL_MS };
+                    if self.node.is_idle() { IDLE_TICK_INTERVAL_MS } else { TICK_INTERVAL_MS };
                 tokio::select! {
                     _ = stop.changed() => return,
                     () = sleep_until(ticked + period.into()) => {
@@ -120,7 +120,7 @@
         }
         if tick {
             self.cancel_abandoned(&mut out);
-            self.node.on(self.clock.now(), Input::Tick, &mut out);
+            self.node.handle(self.clock.now(), Input::Tick, &mut out);
             self.publish_gauges();
         }
         self.apply_outputs(out);
@@ -131,10 +131,10 @@
         let input = match message {
             CoreMessage::Search(search) => return self.submit_search(now, search, out),
             CoreMessage::Order(order) => return self.submit_order(now, order, out),
-            CoreMessage::StoreReply(event) => Input::Store(event),
+            CoreMessage::StoreReply(event) => Input::StoreAnswered(event),
             CoreMessage::Messages(from, messages) => {
                 for message in messages {
-                    self.node.on(now, Input::Peer(from, message), out);
+                    self.node.handle(now, Input::MessageReceived(from, message), out);
                 }
                 return;
             }
@@ -158,25 +158,31 @@
                 self.draining = true;
                 Input::Drain
             }
-            CoreMessage::Disconnected(vm) => Input::Lost(vm),
+            CoreMessage::Disconnected(vm) => Input::Disconnected(vm),
             CoreMessage::SendEnded { send_id, result, snapshots } => {
-                Input::Done { ticket: send_id, result, held: snapshots }
+                Input::SendEnded { send_id, result, snapshots }
+            }
+            CoreMessage::SnapshotsReported(upstream, snapshots) => {
+                Input::SnapshotsReported(upstream, snapshots)
             }
-            CoreMessage::SnapshotsReported(upstream, snapshots) => Input::Held(upstream, snapshots),
             CoreMessage::Leaving(upstream) => Input::Leaving(upstream),
             CoreMessage::Restarted(upstream) => Input::Restarted(upstream),
             CoreMessage::Catalog(catalog) => Input::Catalog(catalog),
             CoreMessage::Table(table) => Input::Table(table),
             CoreMessage::Directory(directory) => Input::Directory(directory),
         };
-        self.node.on(now, input, out);
+        self.node.handle(now, input, out);
     }
 
     fn submit_search(&mut self, now: Millis, search: Search, out: &mut Vec<Output>) {
         let Search { service, timeout, label, body, reply } = search;
         let Some(id) = self.node.catalog().service(&service).map(|s| s.id) else {
             let catalog_loaded = !self.node.catalog().services.is_empty();
-            let reason = if catalog_loaded { Cause::UnknownService } else { Cause::NotReady };
+            let reason = if catalog_loaded {
+                RefusalReason::UnknownService
+            } else {
+                RefusalReason::NotReady
+            };
             let _ =
                 reply.send(Completion::Refusal(Refusal { reason, retry_after: RETRY_AFTER_MS }));
             return;
@@ -184,19 +190,23 @@
         let token = self.next_token;
         self.next_token += 1;
         self.pending.insert(token, (reply, label));
-        self.node.on(now, Input::Submit { token, service: id, within: timeout, body }, out);
+        self.node.handle(now, Input::Submit { token, service: id, timeout, body }, out);
     }
 
     fn submit_order(&mut self, now: Millis, order: Order, out: &mut Vec<Output>) {
         let Order { service, key, now_s, timeout, body, reply } = order;
         let Some(id) = self.node.catalog().service(&service).map(|s| s.id) else {
             let catalog_loaded = !self.node.catalog().services.is_empty();
-            let reason = if catalog_loaded { Cause::UnknownService } else { Cause::NotReady };
+            let reason = if catalog_loaded {
+                RefusalReason::UnknownService
+            } else {
+                RefusalReason::NotReady
+            };
             let _ =
                 reply.send(Completion::Refusal(Refusal { reason, retry_after: RETRY_AFTER_MS }));
             return;
         };
-        let key = match Key::read(id, &key, now_s) {
+        let key = match Key::parse(id, &key, now_s) {
             Ok(key) => key,
             Err(error) => {
                 let _ = reply.send(Completion::InvalidKey(error));
@@ -206,8 +216,12 @@
         let token = self.next_token;
         self.next_token += 1;
         self.pending.insert(token, (reply, None));
-        let age_s = now_s.checked_sub(key.made_s);
-        self.node.on(now, Input::Order(Intake { token, key, age_s, within: timeout, body }), out);
+        let key_age_s = now_s.checked_sub(key.made_s);
+        self.node.handle(
+            now,
+            Input::Order(IncomingOrder { token, key, key_age_s, timeout, body }),
+            out,
+        );
     }
 
     /// Cancels the requests whose callers have disconnected.
@@ -216,7 +230,7 @@
             self.pending.iter().filter(|(_, r)| r.0.is_closed()).map(|(t, _)| *t).collect();
         for token in abandoned {
             self.pending.remove(&token);
-            self.node.on(self.clock.now(), Input::Abandon(token), out);
+            self.node.handle(self.clock.now(), Input::CallerDisconnected(token), out);
         }
     }
 
@@ -224,11 +238,11 @@
         let mut batches: BTreeMap<Vm, Vec<Message>> = BTreeMap::new();
         for output in out {
             match output {
-                Output::Tell(to, message) => batches.entry(to).or_default().push(message),
-                Output::Send { ticket: send_id, upstream, leaf } => {
+                Output::SendMessage(to, message) => batches.entry(to).or_default().push(message),
+                Output::Send { send_id, upstream, leaf } => {
                     self.send_command(Command::Send { send_id, upstream, leaf });
                 }
-                Output::Abort { ticket: send_id, upstream } => {
+                Output::Cancel { send_id, upstream } => {
                     self.send_command(Command::Cancel { send_id, upstream });
                 }
                 Output::Connect(upstreams) => {
@@ -254,22 +268,22 @@
                         let _ = reply.send(Completion::Refusal(refusal));
                     }
                 }
-                Output::Ordered(token, outcome) => {
+                Output::AnswerOrder(token, outcome) => {
                     if let Some((reply, _)) = self.pending.remove(&token) {
                         let _ = reply.send(Completion::Ordered(outcome));
                     }
                 }
-                Output::Store(action) => self.call_store(action),
-                Output::Note(note) => self.log.record(self.clock.now(), &note),
+                Output::CallStore(action) => self.call_store(action),
+                Output::LogDecision(decision) => self.log.record(self.clock.now(), &decision),
             }
         }
         for (to, messages) in batches {
-            if self.peers.push(Outgoing::Parcel(to, Parcel::Messages(messages))).is_err() {
+            if self.peers.push(PeerCommand::Send(to, Payload::Messages(messages))).is_err() {
                 // The ring to the peers worker is full, so the requests cannot reach the VM. The core
                 // handles it as a lost connection: it asks another VM or reports the shards missing.
                 let mut out = Vec::new();
-                self.node.on(self.clock.now(), Input::Lost(to), &mut out);
-                out.retain(|o| !matches!(o, Output::Tell(..)));
+                self.node.handle(self.clock.now(), Input::Disconnected(to), &mut out);
+                out.retain(|o| !matches!(o, Output::SendMessage(..)));
                 self.apply_outputs(out);
             }
         }
@@ -284,13 +298,13 @@
         };
         let event = match action {
             tgw_order::Action::Put(object, ..) => {
-                tgw_order::Event::Stored(object, tgw_order::Stored::Unavailable)
+                tgw_order::Event::WriteDone(object, tgw_order::WriteOutcome::Unavailable)
             }
-            tgw_order::Action::Get(object) => tgw_order::Event::Read(object, Err(())),
+            tgw_order::Action::Get(object) => tgw_order::Event::ReadDone(object, Err(())),
             _ => return,
         };
         let mut out = Vec::new();
-        self.node.on(self.clock.now(), Input::Store(event), &mut out);
+        self.node.handle(self.clock.now(), Input::StoreAnswered(event), &mut out);
         self.apply_outputs(out);
     }
 
@@ -298,8 +312,8 @@
         if let Err(Command::Send { send_id, .. }) = self.commands.push(command) {
             let mut out = Vec::new();
             let result = Err(tgw_dispatch::leaf::Failure::Connect);
-            let input = Input::Done { ticket: send_id, result, held: None };
-            self.node.on(self.clock.now(), input, &mut out);
+            let input = Input::SendEnded { send_id, result, snapshots: None };
+            self.node.handle(self.clock.now(), input, &mut out);
             self.apply_outputs(out);
         }
     }
@@ -314,7 +328,7 @@
     /// Whether new queries are accepted.
     fn is_ready(&self) -> bool {
         // Until group ownership is settled, this VM itself would reject every leaf request.
-        let settled = self.node.joined() && self.node.table().is_some();
+        let settled = self.node.has_joined() && self.node.table().is_some();
         settled && !self.draining && !self.node.catalog().services.is_empty()
     }
 
@@ -327,16 +341,16 @@
         gauges.ready.store(self.is_ready(), Ordering::Relaxed);
         set(&gauges.table_edition, self.node.table().map_or(0, |t| t.edition));
         set(&gauges.queries_running, self.node.entry().pending() as u64);
-        set(&gauges.first_requests, stats.leafs);
-        set(&gauges.extra_requests, stats.extra);
-        set(&gauges.extra_sends, stats.extra_owner);
-        set(&gauges.late_outcomes, stats.late);
-        set(&gauges.unmatched_outcomes, stats.crossed);
+        set(&gauges.first_requests, stats.first_requests);
+        set(&gauges.extra_requests, stats.extra_requests);
+        set(&gauges.extra_sends, stats.extra_sends);
+        set(&gauges.late_outcomes, stats.late_outcomes);
+        set(&gauges.unmatched_outcomes, stats.unmatched_outcomes);
         set(&gauges.restarts, stats.restarts);
         set(&gauges.members, self.node.directory().owners().count() as u64);
         set(&gauges.core_ring_length, self.core_sender.len() as u64);
         set(&gauges.core_ring_rejected, self.core_sender.rejected_count());
-        let idle = self.draining && self.node.idle() && self.pending.is_empty();
+        let idle = self.draining && self.node.is_idle() && self.pending.is_empty();
         self.idle.send_if_modified(|old| std::mem::replace(old, idle) != idle);
     }
 
@@ -373,15 +387,15 @@
             domains: domains.collect(),
             upstreams: self.upstream_statuses(now),
             counters: Counters {
-                first_requests: stats.leafs,
-                extra_requests: stats.extra,
-                extra_sends: stats.extra_owner,
-                late_outcomes: stats.late,
-                unmatched_outcomes: stats.crossed,
+                first_requests: stats.first_requests,
+                extra_requests: stats.extra_requests,
+                extra_sends: stats.extra_sends,
+                late_outcomes: stats.late_outcomes,
+                unmatched_outcomes: stats.unmatched_outcomes,
                 restarts: stats.restarts,
-                complete: stats.whole,
+                complete: stats.complete,
                 partial: stats.partial,
-                below_least_coverage: stats.short,
+                below_least_coverage: stats.below_least_coverage,
                 refused: stats.refused,
             },
         }
@@ -398,8 +412,12 @@
                 .unwrap_or_default(),
             group: node.group().to_string(),
             owner: self.node.owner_of(node.group()).map(|vm| self.vm_name(vm)).unwrap_or_default(),
-            state: self.node.belief(now, node.id).map(|b| format!("{:?}", b.0)).unwrap_or_default(),
-            running: self.node.running(node.id),
+            state: self
+                .node
+                .estimate(now, node.id)
+                .map(|b| format!("{:?}", b.0))
+                .unwrap_or_default(),
+            running: self.node.in_flight(node.id),
             leaving: self.node.is_leaving(node.id),
         };
         catalog.upstreams.values().map(status_of).collect()
--- a/crates/tgw-serve/src/serve.rs
+++ b/crates/tgw-serve/src/serve.rs
@@ -19,11 +19,11 @@
 use tgw_dispatch::leaf::{Failure, Outcome};
 use tgw_member::Rollout;
 use tgw_node::{
-    Identity, Message, Node, Tap,
-    message::{Ask, Told},
+    Identity, Message, Node, Observer as CoreObserver,
+    message::{Completion, Request},
 };
 use tgw_owner::Directory;
-use tgw_peer::{Letter, Network, Open, Outgoing, Parcel, Report};
+use tgw_peer::{Command as PeerCommand, Direct, Frame, Network, Observer, Payload};
 use tgw_platform::{Http, Store};
 use tgw_ring::{Receiver, Sender, channel};
 use tgw_settings::Settings;
@@ -61,7 +61,7 @@
 }
 
 /// Creates an observer for a core of this identity.
-pub type TapFactory = Box<dyn FnOnce(&Identity) -> anyhow::Result<Box<dyn Tap>> + Send>;
+pub type TapFactory = Box<dyn FnOnce(&Identity) -> anyhow::Result<Box<dyn CoreObserver>> + Send>;
 
 impl Options {
     /// Creates options for a process with the defaults for everything but the settings.
@@ -69,7 +69,7 @@
         Self {
             settings,
             store: None,
-            network: Arc::new(Open),
+            network: Arc::new(Direct),
             freeze: Freeze::default(),
             tap: None,
         }
@@ -82,7 +82,7 @@
     operators: SocketAddr,
     peers: tgw_peer::Handle,
     core: Sender<CoreMessage>,
-    outgoing: Sender<Outgoing>,
+    outgoing: Sender<PeerCommand>,
     gauges: Arc<Gauges>,
     idle: watch::Receiver<bool>,
     /// Stops the HTTP listeners; requests in flight are finished.
@@ -122,14 +122,14 @@
 
     /// Bytes of membership packets sent since the process started.
     pub fn udp_bytes_sent(&self) -> u64 {
-        self.peers.counts().udp_sent.load(Ordering::Relaxed)
+        self.peers.counts().udp_bytes_sent.load(Ordering::Relaxed)
     }
 
     /// Shuts down gracefully: announces the departure to the other VMs, accepts requests for the grace
     /// period (until the load balancer has noticed), finishes all requests, then stops. Returns whether
     /// all requests were finished within `limit`.
     pub fn drain(mut self, limit: Duration) -> bool {
-        let _ = self.outgoing.push(Outgoing::Leave);
+        let _ = self.outgoing.push(PeerCommand::Leave);
         self.gauges.leaving.store(true, Ordering::Relaxed);
         std::thread::sleep(self.grace);
         let _ = self.core.push(CoreMessage::Drain);
@@ -166,61 +166,61 @@
     config: Sender<ConfigMessage>,
 }
 
-impl Report for Sink {
-    fn letter(&self, letter: Letter) -> Result<(), Letter> {
-        let Letter { from, incarnation, parcel } = letter;
-        let message = match parcel {
-            Parcel::Messages(messages) => {
+impl Observer for Sink {
+    fn deliver(&self, frame: Frame) -> Result<(), Frame> {
+        let Frame { from, incarnation, payload } = frame;
+        let message = match payload {
+            Payload::Messages(messages) => {
                 let rejected = self.core.push(CoreMessage::Messages(from, messages));
                 return rejected.map_err(|message| match message {
                     CoreMessage::Messages(from, messages) => {
-                        Letter { from, incarnation, parcel: Parcel::Messages(messages) }
+                        Frame { from, incarnation, payload: Payload::Messages(messages) }
                     }
-                    _ => Letter { from, incarnation, parcel: Parcel::Messages(Vec::new()) },
+                    _ => Frame { from, incarnation, payload: Payload::Messages(Vec::new()) },
                 });
             }
-            Parcel::Ask { edit, world } => {
-                ConfigMessage::UpdateRequest { from, edition: edit, catalog_version: world }
+            Payload::RequestUpdates { edition, catalog_version } => {
+                ConfigMessage::UpdateRequest { from, edition, catalog_version }
             }
-            Parcel::Table(delta) => ConfigMessage::TableUpdate(delta),
-            Parcel::World { version, parts } => {
-                ConfigMessage::CatalogUpdate { version, services: parts }
+            Payload::TableUpdate(delta) => ConfigMessage::TableUpdate(delta),
+            Payload::CatalogUpdate { version, updates } => {
+                ConfigMessage::CatalogUpdate { version, services: updates }
             }
-            Parcel::Records(_) => return Ok(()),
+            Payload::Records(_) => return Ok(()),
         };
         // Every membership packet repeats the versions, so a dropped message is made up for.
         let _ = self.config.push(message);
         Ok(())
     }
 
-    fn directory(&self, directory: Arc<Directory>, watches_platform: bool) {
+    fn directory_changed(&self, directory: Arc<Directory>, watches_platform: bool) {
         let _ = self.core.push(CoreMessage::Directory(directory));
         let _ = self.config.push(ConfigMessage::WatchesPlatform(watches_platform));
     }
 
-    fn forces(&self, rollouts: BTreeMap<Domain, Rollout>) {
+    fn rollouts(&self, rollouts: BTreeMap<Domain, Rollout>) {
         let _ = self.core.push(CoreMessage::Rollouts(rollouts));
     }
 
-    fn lost(&self, vm: Vm) {
+    fn disconnected(&self, vm: Vm) {
         let _ = self.core.push(CoreMessage::Disconnected(vm));
     }
 
-    fn refused(&self, vm: Vm, parcel: Parcel) {
+    fn queue_full(&self, vm: Vm, payload: Payload) {
         // The VM is overloaded and did not take the batch. Its requests are answered as failed, so that
         // the entry can retry elsewhere. Outcomes and cancellations are lost; the requesting VM's
         // timeouts cover that.
-        let Parcel::Messages(messages) = parcel else { return };
+        let Payload::Messages(messages) = payload else { return };
         let failed = messages.into_iter().filter_map(|message| match message {
-            Message::Ask(Ask { key, .. }) => {
-                Some(Message::Outcome(Told::bare(key, Outcome::Failed(Failure::Closed))))
+            Message::Request(Request { key, .. }) => {
+                Some(Message::Outcome(Completion::unqueued(key, Outcome::Failed(Failure::Closed))))
             }
             _ => None,
         });
         let _ = self.core.push(CoreMessage::Messages(vm, failed.collect()));
     }
 
-    fn newer(&self, vm: Vm, _edit: u64, _world: u64) {
+    fn peer_newer(&self, vm: Vm, _edit: u64, _catalog_version: u64) {
         let _ = self.config.push(ConfigMessage::PeerNewer(vm));
     }
 
@@ -253,9 +253,9 @@
     let peers = tgw_peer::bind(peer, outgoing_receiver, sink, stopped.clone())?;
 
     let identity = identity(&settings, vm, incarnation, place);
-    let mut node = Node::new(tgw_node::Options::shipped(&identity));
+    let mut node = Node::new(tgw_node::Options::production(&identity));
     if let Some(tap) = tap {
-        node.tap(tap(&identity)?);
+        node.set_observer(tap(&identity)?);
     }
     let channels = Channels {
         receiver: core_receiver,
@@ -372,13 +372,14 @@
 fn identity(settings: &Settings, vm: Vm, incarnation: u64, place: Place) -> Identity {
     let micros_as_ms = |micros: u64| Millis::from_micros(micros).as_f64();
     let network = settings.network;
-    let distance = Latency {
+    let network_delays = Latency {
         same_domain_ms: micros_as_ms(network.local_us),
         cross_domain_ms: micros_as_ms(network.domains_us),
         cross_region_ms: micros_as_ms(network.regions_us),
     };
-    let (places, sample) = (settings.listen.concurrency as u32, settings.log.sample);
-    Identity { vm, incarnation, place, distance, places, sample }
+    let (max_running, log_sample_interval) =
+        (settings.listen.concurrency as u32, settings.log.sample);
+    Identity { vm, incarnation, place, network_delays, max_running, log_sample_interval }
 }
 
 fn spawn_thread(name: &str, run: impl FnOnce() + Send + 'static) -> anyhow::Result<JoinHandle<()>> {
@@ -405,7 +406,7 @@
 fn spawn_config(
     store: Arc<dyn Store>,
     core: &Sender<CoreMessage>,
-    peers: &Sender<Outgoing>,
+    peers: &Sender<PeerCommand>,
     messages: Receiver<ConfigMessage>,
     gauges: &Arc<Gauges>,
     clock: &Arc<dyn Clock>,
--- a/crates/tgw-upstream/src/client.rs
+++ b/crates/tgw-upstream/src/client.rs
@@ -9,7 +9,7 @@
 use hyper_util::rt::TokioIo;
 use std::{cell::Cell, cell::RefCell, net::SocketAddr, rc::Rc};
 use tgw_clock::Millis;
-use tgw_dispatch::leaf::{Failure, Held, Reply};
+use tgw_dispatch::leaf::{Failure, HeldSnapshots, Reply};
 use tgw_topology::{Shard, Snapshot};
 use tokio::{net::TcpStream, time::timeout};
 
@@ -41,7 +41,7 @@
     /// The decoded reply, or why there is none.
     pub result: T,
     /// The snapshots that the upstream holds; `None` if the reply does not list them.
-    pub held: Option<Held>,
+    pub held: Option<HeldSnapshots>,
     /// The incarnation of the upstream's process; `None` if the reply does not state it.
     pub incarnation: Option<u64>,
 }
