--- a/crates/tgw-gateway/src/quarantine.rs
+++ b/crates/tgw-gateway/src/quarantine.rs
@@ -103,7 +103,7 @@
     match change {
         Change::Unchanged | Change::UpstreamEnded => {}
         Change::Quarantined { everywhere } => {
-            tracing::warn!(print = %fingerprint, everywhere, source, "request quarantined");
+            tracing::warn!(print = %fingerprint, all = everywhere, source, "request quarantined");
         }
         Change::Released => {
             tracing::warn!(print = %fingerprint, source, "request released from quarantine");
