--- a/crates/tgw-bench/src/leaving/platform.rs
+++ b/crates/tgw-bench/src/leaving/platform.rs
@@ -122,7 +122,7 @@
         self.affected.remove(&number);
         if self.setup.faults[number].kind == FaultKind::Outage {
             for upstream in 0..self.setup.upstreams {
-                let after = REWRITE_AFTER_OUTAGE_MS.scale(self.rng.random_range(0.0..1.0));
+                let after = REWRITE_AFTER_OUTAGE_MS.mul_f64(self.rng.random_range(0.0..1.0));
                 self.schedule(self.now + after, Scheduled::Write(name(upstream)));
             }
         }
--- a/crates/tgw-bench/src/leaving/setup.rs
+++ b/crates/tgw-bench/src/leaving/setup.rs
@@ -106,7 +106,7 @@
     /// Adds a fault; its begin and end are in ms relative to the time at which the upstreams leave.
     #[must_use]
     pub fn with_fault(mut self, kind: FaultKind, target: Target, from: i64, to: i64) -> Self {
-        let leave = self.leave_at.whole();
+        let leave = self.leave_at.as_whole_ms();
         let at = |ms: i64| Millis::new(leave.saturating_add_signed(ms));
         self.faults.push(Fault { at: at(from), until: at(to), kind, target });
         self
--- a/crates/tgw-bench/src/leaving/simulation.rs
+++ b/crates/tgw-bench/src/leaving/simulation.rs
@@ -142,7 +142,7 @@
         for number in 0..simulation.setup.vms {
             let vm = simulation.vm(number);
             simulation.vms.push(vm);
-            let jitter = TICK_INTERVAL_MS.scale(simulation.rng.random_range(0.0..1.0));
+            let jitter = TICK_INTERVAL_MS.mul_f64(simulation.rng.random_range(0.0..1.0));
             simulation.schedule(jitter, Scheduled::Tick(number));
             simulation.schedule(jitter, Scheduled::Step(number, 0));
             simulation.schedule(SETTLE_MS + jitter, Scheduled::Probe(number));
@@ -191,7 +191,7 @@
             self.schedule(fault.until, Scheduled::FaultEnds(number));
         }
         for number in 0..LEAVING_COUNT {
-            let within = LEAVING_SPREAD_MS.scale(self.rng.random_range(0.0..1.0));
+            let within = LEAVING_SPREAD_MS.mul_f64(self.rng.random_range(0.0..1.0));
             self.schedule(self.setup.leave_at + within, Scheduled::SubjectChanges(number));
         }
         self.schedule(SETTLE_MS + SETTLE_MS, Scheduled::RewriteEntry);
--- a/crates/tgw-bench/src/members.rs
+++ b/crates/tgw-bench/src/members.rs
@@ -132,7 +132,7 @@
         let seeds = self.seeds();
         let node = &mut self.nodes[index];
         node.generation += 1;
-        let incarnation = (u64::from(node.generation) * 1_000_000 + self.now.whole()) << 16;
+        let incarnation = (u64::from(node.generation) * 1_000_000 + self.now.as_whole_ms()) << 16;
         node.member = Some(Member::new(Options {
             vm: node.vm,
             name: format!("vm-{index}"),
--- a/crates/tgw-bench/src/overload/run.rs
+++ b/crates/tgw-bench/src/overload/run.rs
@@ -355,7 +355,7 @@
         let (from, print) = (hosted.map_or(vm, |(vm, _)| vm), running.query.fingerprint());
         // A new connection shows that the upstream is still there and only its reply was lost.
         let reconnects = outcome == SendOutcome::Broken && self.policy.quarantine;
-        let reconnect_delay = self.pool.delay(self.vms[from].region, region).scale(2.0);
+        let reconnect_delay = self.pool.delay(self.vms[from].region, region).mul_f64(2.0);
         let at = if reconnects { at + reconnect_delay } else { at };
         let load = reported_load(&result);
         let hosted = hosted
--- a/crates/tgw-bench/src/overload/termination.rs
+++ b/crates/tgw-bench/src/overload/termination.rs
@@ -56,7 +56,7 @@
             let held = arrives <= now;
             let delay = self.pool.delay(self.vms[from].region, upstream % REGIONS);
             // The sender opens a new connection after the break, which is refused.
-            let reconnect_delay = delay.scale(2.0);
+            let reconnect_delay = delay.mul_f64(2.0);
             if held {
                 let end = termination_report(upstream, generation, print, rounds);
                 self.schedule(
--- a/crates/tgw-bench/src/starts/simulation.rs
+++ b/crates/tgw-bench/src/starts/simulation.rs
@@ -113,7 +113,7 @@
             let at = if seed {
                 START_SPREAD_MS
             } else {
-                START_SPREAD_MS.scale(rng.random_range(0.0..1.0))
+                START_SPREAD_MS.mul_f64(rng.random_range(0.0..1.0))
             };
             let down = number < setup.seeds_down;
             let dies = if down { Some(Millis::ZERO) } else { setup.seeds_die.map(|d| at + d) };
--- a/crates/tgw-bench/src/warmup/simulation.rs
+++ b/crates/tgw-bench/src/warmup/simulation.rs
@@ -90,7 +90,7 @@
         for vm in 0..simulation.setup.vms {
             let seed = simulation.rng.random();
             simulation.vms.push(Vm::start(Millis::ZERO, &simulation.setup, vm, seed));
-            let jitter = TICK_INTERVAL_MS.scale(simulation.rng.random_range(0.0..1.0));
+            let jitter = TICK_INTERVAL_MS.mul_f64(simulation.rng.random_range(0.0..1.0));
             simulation.schedule(jitter, Scheduled::Tick(vm));
         }
         for (number, fault) in simulation.setup.faults.clone().into_iter().enumerate() {
@@ -236,7 +236,7 @@
     }
 
     fn connect(&mut self, vm: usize, ticket: Ticket) {
-        let after = CONNECTION_WAIT_MS.scale(self.rng.random_range(0.0..1.0));
+        let after = CONNECTION_WAIT_MS.mul_f64(self.rng.random_range(0.0..1.0));
         self.schedule(self.now + after, Scheduled::Write { vm, ticket });
     }
 
--- a/crates/tgw-bench/src/warmup/vm.rs
+++ b/crates/tgw-bench/src/warmup/vm.rs
@@ -64,7 +64,7 @@
         let options = Options {
             vm: Id::from_name(&format!("vm-{number}")),
             name: format!("vm-{number}"),
-            incarnation: (1 << 16) + now.whole(),
+            incarnation: (1 << 16) + now.as_whole_ms(),
             place,
             addr: address(number),
             seeds: (0..domains).map(address).collect(),
--- a/crates/tgw-bench/tests/members.rs
+++ b/crates/tgw-bench/tests/members.rs
@@ -34,7 +34,7 @@
 fn killed_vm_is_dead_in_every_view_of_its_domain_within_three_seconds(each: usize, seed: u64) {
     let mut simulation = settled(1, each, seed);
     simulation.kill(each - 1);
-    simulation.run(SECOND.scale(3.0));
+    simulation.run(SECOND.mul_f64(3.0));
     for at in 0..each - 1 {
         assert_eq!(simulation.state(at, each - 1), Some(State::Dead), "in the view of {at}");
     }
@@ -64,7 +64,7 @@
 fn no_vm_is_declared_dead_with_a_fifth_of_packets_lost(seed: u64) {
     let mut simulation = settled(2, 10, seed);
     simulation.loss = 0.2;
-    simulation.run(SECOND.scale(60.0));
+    simulation.run(SECOND.mul_f64(60.0));
     assert_eq!(simulation.false_removals, 0);
 }
 
@@ -74,7 +74,7 @@
 fn resumed_vm_detects_its_pause_and_declares_no_vm_dead() {
     let mut simulation = settled(1, 7, 1);
     simulation.set_paused(3, true);
-    simulation.run(SECOND.scale(4.0));
+    simulation.run(SECOND.mul_f64(4.0));
     assert_eq!(simulation.state(0, 3), Some(State::Dead));
     simulation.set_paused(3, false);
     simulation.run(Millis::new(100));
@@ -87,7 +87,7 @@
         );
     }
     simulation
-        .run_until(SECOND.scale(5.0), Simulation::converged)
+        .run_until(SECOND.mul_f64(5.0), Simulation::converged)
         .expect("the VM refutes its death");
 }
 
@@ -100,9 +100,9 @@
     simulation.run(Millis::new(800));
     simulation.start(2);
     simulation
-        .run_until(SECOND.scale(6.0), Simulation::converged)
+        .run_until(SECOND.mul_f64(6.0), Simulation::converged)
         .expect("the new incarnation is alive in every view");
-    simulation.run(SECOND.scale(10.0));
+    simulation.run(SECOND.mul_f64(10.0));
     assert!(simulation.converged());
 }
 
@@ -113,7 +113,7 @@
 fn fleet_converges_after_a_partition_heals(domains: usize, each: usize, seed: u64) {
     let mut simulation = settled(domains, each, seed);
     simulation.set_partitioned(0, true);
-    simulation.run(SECOND.scale(20.0));
+    simulation.run(SECOND.mul_f64(20.0));
     let unreachable = simulation.directory(each).unreachable_domains;
     assert!(
         unreachable.iter().any(|d| d.0 == 0),
@@ -121,7 +121,7 @@
     );
     simulation.set_partitioned(0, false);
     simulation
-        .run_until(SECOND.scale(10.0), Simulation::converged)
+        .run_until(SECOND.mul_f64(10.0), Simulation::converged)
         .expect("the fleet converges again");
     assert_eq!(simulation.false_removals, 0);
 }
@@ -131,7 +131,7 @@
 fn death_of_a_domains_only_vm_is_detected_by_other_domains() {
     let mut simulation = settled(6, 1, 1);
     simulation.kill(5);
-    simulation.run(SECOND.scale(5.0));
+    simulation.run(SECOND.mul_f64(5.0));
     for at in 0..5 {
         let owners: Vec<_> =
             simulation.directory(at).owners().map(|(_, m)| m.name.clone()).collect();
@@ -147,10 +147,10 @@
     for index in 0..11 {
         simulation.set_edition(index, 7);
     }
-    simulation.run(SECOND.scale(10.0));
+    simulation.run(SECOND.mul_f64(10.0));
     assert_ne!(simulation.in_force(0).get(&2), Some(&7), "one VM of domain 2 lacks it");
     simulation.set_edition(11, 7);
-    simulation.run(SECOND.scale(10.0));
+    simulation.run(SECOND.mul_f64(10.0));
     for at in 0..12 {
         let rollouts = simulation.in_force(at);
         assert!(rollouts.len() == 3 && rollouts.values().all(|e| *e == 7), "at {at}: {rollouts:?}");
@@ -171,7 +171,7 @@
     simulation.move_to_new_address(last);
     simulation.start(last);
     simulation
-        .run_until(SECOND.scale(5.0), Simulation::converged)
+        .run_until(SECOND.mul_f64(5.0), Simulation::converged)
         .expect("the new incarnation is alive in every view");
 }
 
@@ -208,10 +208,10 @@
     };
     assert_eq!(domains(&simulation), [0, 2]);
     simulation.set_partitioned(1, true);
-    simulation.run(SECOND.scale(3.5));
+    simulation.run(SECOND.mul_f64(3.5));
     assert_eq!(domains(&simulation), [0, 1, 2]);
     simulation.set_partitioned(1, false);
-    simulation.run(SECOND.scale(3.0));
+    simulation.run(SECOND.mul_f64(3.0));
     assert_eq!(domains(&simulation), [0, 2]);
 }
 
@@ -221,7 +221,7 @@
 fn another_domain_takes_over_the_watch_when_one_is_refused_entirely() {
     let mut simulation = settled(4, 3, 1);
     (0..3).for_each(|vm| simulation.set_platform_unreachable(vm, true));
-    simulation.run(SECOND.scale(2.0));
+    simulation.run(SECOND.mul_f64(2.0));
     let after = simulation.watchers();
     assert!(after.iter().any(|f| f / 3 == 1), "{after:?}");
 }
--- a/crates/tgw-clock/src/lib.rs
+++ b/crates/tgw-clock/src/lib.rs
@@ -4,9 +4,9 @@
 //! threads that run it own a [`Clock`].
 
 mod clock;
-mod freeze;
 mod millis;
+mod pause_switch;
 
 pub use clock::{Clock, Fake, Monotonic};
-pub use freeze::Freeze;
 pub use millis::Millis;
+pub use pause_switch::PauseSwitch;
--- a/crates/tgw-clock/src/millis.rs
+++ b/crates/tgw-clock/src/millis.rs
@@ -43,7 +43,7 @@
     }
 
     /// The value in whole milliseconds, rounded down.
-    pub const fn whole(self) -> u64 {
+    pub const fn as_whole_ms(self) -> u64 {
         self.0 / MICROS_PER_MS
     }
 
@@ -53,7 +53,7 @@
     }
 
     /// This duration multiplied by `factor`.
-    pub fn scale(self, factor: f64) -> Self {
+    pub fn mul_f64(self, factor: f64) -> Self {
         Self::from_f64(self.as_f64() * factor)
     }
 }
--- a/crates/tgw-clock/src/freeze.rs
+++ b/crates/tgw-clock/src/pause_switch.rs
@@ -13,18 +13,18 @@
 /// A switch that blocks the threads of one VM, to simulate a suspended machine. Demos and tests use
 /// it on VMs that share a process; a production process never sets it and pays one atomic load a check.
 #[derive(Clone, Debug, Default)]
-pub struct Freeze(Arc<Shared>);
+pub struct PauseSwitch(Arc<Shared>);
 
-impl Freeze {
-    /// Blocks the threads that call [`Freeze::hold`], or resumes them.
-    pub fn set(&self, frozen: bool) {
+impl PauseSwitch {
+    /// Blocks the threads that call [`PauseSwitch::wait_while_paused`], or resumes them.
+    pub fn set_paused(&self, frozen: bool) {
         let _guard = self.0.guard.lock().unwrap_or_else(PoisonError::into_inner);
         self.0.frozen.store(frozen, Ordering::SeqCst);
         self.0.resumed.notify_all();
     }
 
     /// Blocks the calling thread while the switch is set.
-    pub fn hold(&self) {
+    pub fn wait_while_paused(&self) {
         if !self.0.frozen.load(Ordering::Relaxed) {
             return;
         }
--- a/crates/tgw-demo/src/fleet.rs
+++ b/crates/tgw-demo/src/fleet.rs
@@ -10,7 +10,7 @@
     thread::JoinHandle,
     time::Duration,
 };
-use tgw_clock::{Freeze, Millis};
+use tgw_clock::{Millis, PauseSwitch};
 use tgw_replay::Recorder;
 use tgw_serve::{Handle, Options};
 use tgw_settings::Settings;
@@ -53,7 +53,7 @@
     /// Region and failure domain of the VM.
     pub place: Place,
     /// Pauses and resumes its threads.
-    pub freeze: Freeze,
+    pub freeze: PauseSwitch,
     /// The running VM; `None` after it was killed or drained.
     pub handle: Option<Handle>,
 }
--- a/crates/tgw-demo/src/run.rs
+++ b/crates/tgw-demo/src/run.rs
@@ -204,7 +204,7 @@
         }
         Fault::PauseOwner => {
             if let Some(vm) = fleet.vms.iter().rfind(|vm| vm.handle.is_some()) {
-                vm.freeze.set(true);
+                vm.freeze.set_paused(true);
             }
         }
         Fault::Replace => replace_vm(fleet, entries)?,
@@ -243,7 +243,7 @@
                 set_entries(fleet, entries);
             }
         }
-        Fault::PauseOwner => fleet.vms.iter().for_each(|vm| vm.freeze.set(false)),
+        Fault::PauseOwner => fleet.vms.iter().for_each(|vm| vm.freeze.set_paused(false)),
         Fault::StoreDown => fleet.platform.set(|f| f.down = false),
         Fault::Partition => {
             let domain = fleet.vms[0].place.domain;
--- a/crates/tgw-dispatch/src/timeouts.rs
+++ b/crates/tgw-dispatch/src/timeouts.rs
@@ -44,7 +44,7 @@
         out: &mut Vec<Action>,
     ) {
         let late_after = service.hedge.delay();
-        let overdue_after = late_after.scale(OVERDUE_FACTOR);
+        let overdue_after = late_after.mul_f64(OVERDUE_FACTOR);
         for upstream in &mut self.upstreams {
             let mut newly_late = false;
             for send in upstream
--- a/crates/tgw-forward/src/answer.rs
+++ b/crates/tgw-forward/src/answer.rs
@@ -107,7 +107,7 @@
         }
         let (cause, retry_after) = self.refusal_cause(now, core);
         let spread = 1.0 + 2.0 * f64::from(self.retry_spread % 64) / 64.0;
-        Answer::Refused { retry_after: retry_after.scale(spread), cause }
+        Answer::Refused { retry_after: retry_after.mul_f64(spread), cause }
     }
 
     /// Why a request was not sent to any upstream, and when to retry at the earliest.
--- a/crates/tgw-forward/src/catalog.rs
+++ b/crates/tgw-forward/src/catalog.rs
@@ -108,7 +108,7 @@
         Self {
             min_outage: heartbeat
                 .unwrap_or(DEFAULT_HEARTBEAT_INTERVAL_MS)
-                .scale(MIN_OUTAGE_HEARTBEATS),
+                .mul_f64(MIN_OUTAGE_HEARTBEATS),
             last_answer: Millis::ZERO,
             outage: None,
             retained: HashMap::new(),
--- a/crates/tgw-forward/src/core.rs
+++ b/crates/tgw-forward/src/core.rs
@@ -244,7 +244,7 @@
 
     /// The hedging state of a route for upstreams at a distance.
     pub(crate) fn hedge(&mut self, route: &Route, distance: Distance) -> &mut Hedge {
-        let start = route.target_latency.scale(HEDGE_START_FACTOR);
+        let start = route.target_latency.mul_f64(HEDGE_START_FACTOR);
         let share = self.policy.hedge_share;
         let hedges = self.hedges.entry(route.name.clone()).or_insert_with(|| {
             std::array::from_fn(|_| Hedge::new(share).with_initial_delay(start))
--- a/crates/tgw-forward/src/plan.rs
+++ b/crates/tgw-forward/src/plan.rs
@@ -171,7 +171,7 @@
         let margin = core
             .margin
             .lead_time(self.new_connection)
-            .min(route.target_latency.scale(MAX_MARGIN_FACTOR));
+            .min(route.target_latency.mul_f64(MAX_MARGIN_FACTOR));
         self.answer_by = now + (route.target_latency - margin);
         match &route.target {
             Target::Single(service) => self.parts.push(Part::new(service.clone())),
--- a/crates/tgw-forward/src/sends.rs
+++ b/crates/tgw-forward/src/sends.rs
@@ -106,12 +106,12 @@
             }
             let delay = hedge
                 .delay()
-                .min(route.target_latency.scale(MAX_HEDGE_DELAY_FACTOR))
+                .min(route.target_latency.mul_f64(MAX_HEDGE_DELAY_FACTOR))
                 .max(MIN_HEDGE_DELAY_MS);
             part.late_at = Some(now + delay);
             let other_region_delay = core.hedge(&route, Distance::OtherRegion).delay();
             let latest = (self.answer_by - now) - other_region_delay;
-            let extra_delay = (latest - delay).scale(core.policy().hedge_wait);
+            let extra_delay = (latest - delay).mul_f64(core.policy().hedge_wait);
             part.hedge_at = Some(now + delay + extra_delay);
         }
         let limits = if hop == Hop::Peer { self.part_limits() } else { None };
--- a/crates/tgw-forward/src/window.rs
+++ b/crates/tgw-forward/src/window.rs
@@ -78,7 +78,7 @@
     }
 
     fn advance(&mut self, now: Millis) {
-        let current = now.whole() / BUCKET_MS;
+        let current = now.as_whole_ms() / BUCKET_MS;
         let steps = current.saturating_sub(self.newest_bucket).min(EXTRA_BUCKETS as u64);
         for _ in 0..steps {
             self.requests.rotate_right(1);
--- a/crates/tgw-forward/tests/margin/mod.rs
+++ b/crates/tgw-forward/tests/margin/mod.rs
@@ -74,5 +74,5 @@
     (0..3).for_each(|index| assert!(world.reply(index, &record(1)).is_none()));
     let began = world.now;
     assert!(matches!(world.run_to_answer(), Answer::Merged { missing: 1, .. }));
-    assert_eq!(world.now - began, route.target_latency.scale(0.5));
+    assert_eq!(world.now - began, route.target_latency.mul_f64(0.5));
 }
--- a/crates/tgw-forward/tests/warmup/mod.rs
+++ b/crates/tgw-forward/tests/warmup/mod.rs
@@ -134,7 +134,7 @@
     let hosted =
         Request { upstream: "s0-near", started: 0, fallback: true, lent: false, route: None };
     assert_eq!(world.core.host(world.now, hosted), Err(Refusal::Busy));
-    world.advance(WARMUP_MS.whole());
+    world.advance(WARMUP_MS.as_whole_ms());
     assert_eq!(count_writes(&mut world), WANTED_REQUESTS, "it is warm");
 }
 
--- a/crates/tgw-gateway/src/exchange.rs
+++ b/crates/tgw-gateway/src/exchange.rs
@@ -238,7 +238,7 @@
         .method(request.method.clone())
         .uri(request.uri.clone())
         .body(Full::new(request.body.clone()))?;
-    let remaining = (request.deadline - shared.now()).whole().max(1);
+    let remaining = (request.deadline - shared.now()).as_whole_ms().max(1);
     let head = message.headers_mut();
     head.clone_from(&request.headers);
     head.insert(names.deadline.clone(), HeaderValue::from(remaining));
--- a/crates/tgw-gateway/src/hop.rs
+++ b/crates/tgw-gateway/src/hop.rs
@@ -209,7 +209,7 @@
         lent: send.host_charged,
         limit: send.part_limits.map_or(0, |part_limits| part_limits.limit as u64),
         min_record: send.part_limits.and_then(|part_limits| part_limits.floor),
-        time_left_ms: (request.deadline - shared.now()).whole(),
+        time_left_ms: (request.deadline - shared.now()).as_whole_ms(),
         method: request.method.to_string(),
         uri,
         headers,
--- a/crates/tgw-gateway/src/log_limiter.rs
+++ b/crates/tgw-gateway/src/log_limiter.rs
@@ -70,7 +70,7 @@
     }
 
     fn start_interval(&self, now: Millis) {
-        let interval = now.whole() / INTERVAL_MS;
+        let interval = now.as_whole_ms() / INTERVAL_MS;
         if interval == self.interval.replace(interval) {
             return;
         }
--- a/crates/tgw-gateway/src/peers.rs
+++ b/crates/tgw-gateway/src/peers.rs
@@ -293,7 +293,7 @@
                     );
                 }
                 Action::Paused(gap) => {
-                    tracing::warn!(gap_ms = gap.whole(), "this VM was paused");
+                    tracing::warn!(gap_ms = gap.as_whole_ms(), "this VM was paused");
                     self.shared.world.borrow_mut().upstreams.exclude_pause(gap);
                 }
             }
--- a/crates/tgw-gateway/src/quarantine.rs
+++ b/crates/tgw-gateway/src/quarantine.rs
@@ -44,7 +44,7 @@
 impl Schedule {
     /// Whether one more packet of updates may be forwarded in this second.
     fn allow_forward(&self, now: Millis) -> bool {
-        let second = now.whole() / 1_000;
+        let second = now.as_whole_ms() / 1_000;
         if self.second.replace(second) != second {
             self.forwards.set(0);
         }
@@ -141,8 +141,8 @@
         at_all_services: request.everywhere,
         upstreams_ended: request.ended_upstreams,
         trials: request.trials,
-        next_trial_in_ms: request.retry_after.whole(),
-        last_request_ms: request.idle.whole(),
+        next_trial_in_ms: request.retry_after.as_whole_ms(),
+        last_request_ms: request.idle.as_whole_ms(),
     });
     shown.collect()
 }
--- a/crates/tgw-gateway/src/serve.rs
+++ b/crates/tgw-gateway/src/serve.rs
@@ -106,7 +106,7 @@
         if slow > 0 {
             tracing::info!(
                 callers = slow,
-                limit_ms = limit.whole(),
+                limit_ms = limit.as_whole_ms(),
                 "closed connections whose request head took too long"
             );
         }
@@ -130,7 +130,7 @@
     /// Applies the settings that may change while the process runs: seeds, budgets and the grace
     /// period.
     pub fn reload(&mut self, settings: &Settings) {
-        tracing::info!(seeds = ?settings.peer.seeds, grace_ms = settings.grace_period.whole(),
+        tracing::info!(seeds = ?settings.peer.seeds, grace_ms = settings.grace_period.as_whole_ms(),
             "reload");
         self.peers.add_seeds(settings.peer.seeds.clone());
         self.shared.core.borrow_mut().set_budget(settings.retry_budget);
--- a/crates/tgw-gateway/src/shared.rs
+++ b/crates/tgw-gateway/src/shared.rs
@@ -268,7 +268,7 @@
         let set = |gauge: &AtomicU64, value: u64| gauge.store(value, Ordering::Relaxed);
         let config = self.config.borrow();
         set(&gauges.config, config.version.unwrap_or_default());
-        set(&gauges.config_since, config.since.whole());
+        set(&gauges.config_since, config.since.as_whole_ms());
         let core = self.core.borrow();
         set(&gauges.upstreams, core.fleet.len() as u64);
         set(&gauges.vms, u64::from(core.vms().all));
--- a/crates/tgw-gateway/src/telemetry.rs
+++ b/crates/tgw-gateway/src/telemetry.rs
@@ -40,7 +40,7 @@
         after = order.previous.and_then(|k| core.fleet.get(k)).map(|u| &*u.entry.id),
         cost_ms = upstream.map_or(0.0, |u| u.cost(now, order.hop).round()),
         hop = %order.hop,
-        age_ms = plan.age(now).whole(),
+        age_ms = plan.age(now).as_whole_ms(),
         "send"
     );
 }
@@ -63,7 +63,7 @@
         why = %withheld.trigger,
         reason = %withheld.reason,
         vms = shared.core.borrow().vms().all,
-        age_ms = plan.age(now).whole(),
+        age_ms = plan.age(now).as_whole_ms(),
         "send withheld"
     );
 }
@@ -92,7 +92,7 @@
         hop = %send.hop,
         running = upstream.map_or(0, |u| u.in_flight().saturating_sub(1)),
         expected_ms = upstream.map_or(0.0, |u| u.expected_latency_ms(now).round()),
-        took_ms = (now - send.started_at).whole(),
+        took_ms = (now - send.started_at).as_whole_ms(),
         "send ended"
     );
 }
@@ -111,7 +111,7 @@
         addr = %entry.addr,
         requests = list(|b| b.request.to_str().unwrap_or_default().to_owned()),
         prints = list(|b| b.fingerprint.to_string()),
-        took_ms = sends.first().map(|b| b.took.whole()),
+        took_ms = sends.first().map(|b| b.took.as_whole_ms()),
         "upstream ended under a send"
     );
 }
@@ -121,12 +121,12 @@
     let changes = shared.world.borrow_mut().upstreams.take_changes();
     let now = shared.now();
     for Change { id, transition, retention } in changes {
-        let kept_ms = (now - retention.since).whole();
+        let kept_ms = (now - retention.since).as_whole_ms();
         match transition {
             Transition::Retained => tracing::info!(
                 upstream = &*id,
                 why = "its entry is missing, and the store was away",
-                left_ms = (retention.until - now).whole(),
+                left_ms = (retention.until - now).as_whole_ms(),
                 "upstream doubted"
             ),
             Transition::Back
@@ -136,7 +136,7 @@
                 upstream = &*id,
                 result = %transition,
                 kept_ms,
-                late_ms = (now - retention.until).whole(),
+                late_ms = (now - retention.until).as_whole_ms(),
                 "upstream doubted no more"
             ),
         }
@@ -152,8 +152,8 @@
             request = identity(&send.request),
             upstream = &*send.entry.id,
             service = &*send.entry.service,
-            known_ms = (now - retention.since).whole(),
-            over_ms = (now - retention.until).whole(),
+            known_ms = (now - retention.since).as_whole_ms(),
+            over_ms = (now - retention.until).as_whole_ms(),
             "send to a doubted upstream"
         );
     }
@@ -190,14 +190,14 @@
         route = &*route.name,
         safety = %route.safety,
         config = version,
-        config_age_ms = (now - since).whole(),
+        config_age_ms = (now - since).as_whole_ms(),
         outcome,
         cause,
         sends,
         got,
         parts,
         late,
-        age_ms = plan.age(now).whole(),
+        age_ms = plan.age(now).as_whole_ms(),
         "request"
     );
 }
@@ -219,7 +219,7 @@
             host,
             path,
             config = version,
-            config_age_ms = (now - since).whole(),
+            config_age_ms = (now - since).as_whole_ms(),
             outcome = "refused",
             cause = "no route",
             "request"
--- a/crates/tgw-peer/src/worker.rs
+++ b/crates/tgw-peer/src/worker.rs
@@ -15,7 +15,7 @@
     },
     thread::JoinHandle,
 };
-use tgw_clock::{Clock, Freeze, Millis};
+use tgw_clock::{Clock, Millis, PauseSwitch};
 use tgw_member::{Action, Event, Member, Packet, Record, Rollout};
 use tgw_owner::Directory;
 use tgw_ring::Receiver;
@@ -46,7 +46,7 @@
     /// The clock that all threads of the process share.
     pub clock: Arc<dyn Clock>,
     /// Blocks the worker while a simulated freeze of the VM lasts.
-    pub freeze: Freeze,
+    pub freeze: PauseSwitch,
 }
 
 /// Commands from other threads.
@@ -170,7 +170,7 @@
     keys: Rc<Keys>,
     network: Arc<dyn Network>,
     clock: Arc<dyn Clock>,
-    freeze: Freeze,
+    freeze: PauseSwitch,
     member: Member,
     udp: Rc<UdpSocket>,
     links: BTreeMap<Vm, (SocketAddr, Link)>,
@@ -238,7 +238,7 @@
                     }
                 }
             }
-            self.freeze.hold();
+            self.freeze.wait_while_paused();
             self.remove_ended_links();
         }
     }
--- a/crates/tgw-platform/src/http.rs
+++ b/crates/tgw-platform/src/http.rs
@@ -134,7 +134,7 @@
 
     fn watch<'a>(&'a self, kind: &'a str, from: Version, wait: Millis) -> StoreFuture<'a, List> {
         Box::pin(async move {
-            let path = format!("/watch/{kind}?from={from}&wait_ms={}", wait.whole());
+            let path = format!("/watch/{kind}?from={from}&wait_ms={}", wait.as_whole_ms());
             decode(self.call(Method::GET, path, None, wait).await?)
         })
     }
--- a/crates/tgw-quarantine/src/evidence.rs
+++ b/crates/tgw-quarantine/src/evidence.rs
@@ -100,7 +100,7 @@
 
     /// The state to report to other VMs, for the request and service of `of`.
     pub(crate) fn state(&self, now: Millis, of: QuarantineState) -> QuarantineState {
-        let wait = u32::try_from((self.next_trial - now).whole()).unwrap_or(u32::MAX);
+        let wait = u32::try_from((self.next_trial - now).as_whole_ms()).unwrap_or(u32::MAX);
         QuarantineState { epoch: self.epoch, trials: self.trials, wait, ..of }
     }
 
--- a/crates/tgw-query/src/admission.rs
+++ b/crates/tgw-query/src/admission.rs
@@ -221,7 +221,7 @@
             return;
         }
         let max_limit = f64::from(row.concurrency);
-        if self.max_queue_wait > row.deadline().scale(MAX_QUEUE_WAIT_RATIO) {
+        if self.max_queue_wait > row.deadline().mul_f64(MAX_QUEUE_WAIT_RATIO) {
             self.limit = (self.limit.min(f64::from(self.running + 1)) * LIMIT_DECREASE_FACTOR)
                 .max(MIN_LIMIT_QUERIES);
         } else if self.limit_reached {
--- a/crates/tgw-query/src/outcome.rs
+++ b/crates/tgw-query/src/outcome.rs
@@ -198,7 +198,7 @@
         let total_time = running.deadline - running.submitted_at;
         let remaining_time = running.deadline - cx.now;
         if running.abandoned_snapshots.len() >= MAX_RESTARTS
-            || remaining_time < total_time.scale(MIN_RESTART_TIME_RATIO)
+            || remaining_time < total_time.mul_f64(MIN_RESTART_TIME_RATIO)
         {
             return false;
         }
--- a/crates/tgw-serve/src/callers.rs
+++ b/crates/tgw-serve/src/callers.rs
@@ -145,7 +145,7 @@
         Outcome::NotRun { reason } => json!({
             "outcome": "not_run",
             "reason": reason,
-            "retry_after_ms": ORDER_RETRY_AFTER_MS.whole(),
+            "retry_after_ms": ORDER_RETRY_AFTER_MS.as_whole_ms(),
         }),
         Outcome::Unknown => json!({ "outcome": "unknown" }),
     };
@@ -245,7 +245,7 @@
         | RefusalReason::Draining
         | RefusalReason::NoSnapshot => StatusCode::SERVICE_UNAVAILABLE,
     };
-    let after = refusal.retry_after.whole();
+    let after = refusal.retry_after.as_whole_ms();
     let reason = refusal.reason.to_string();
     let body = json!({ "outcome": "not_run", "reason": reason, "retry_after_ms": after });
     let mut response = (status, Json(body)).into_response();
--- a/crates/tgw-serve/src/queries.rs
+++ b/crates/tgw-serve/src/queries.rs
@@ -8,7 +8,7 @@
     collections::BTreeMap,
     sync::{Arc, atomic::Ordering},
 };
-use tgw_clock::{Clock, Freeze, Millis};
+use tgw_clock::{Clock, Millis, PauseSwitch};
 use tgw_member::Rollout;
 use tgw_node::{IncomingOrder, Input, Message, Node, Output};
 use tgw_order::Key;
@@ -91,7 +91,7 @@
     }
 
     /// Runs on the current thread until `stop` changes.
-    pub(crate) fn run(mut self, freeze: &Freeze, mut stop: watch::Receiver<bool>) {
+    pub(crate) fn run(mut self, freeze: &PauseSwitch, mut stop: watch::Receiver<bool>) {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build();
         let Ok(runtime) = runtime else { return };
         runtime.block_on(async move {
@@ -107,7 +107,7 @@
                     }
                     () = self.receiver.ready() => self.run_batch(false),
                 }
-                freeze.hold();
+                freeze.wait_while_paused();
             }
         });
     }
@@ -151,7 +151,7 @@
                 return;
             }
             CoreMessage::Paused(gap) => {
-                tracing::warn!(target: "tgw::placement", gap_ms = gap.whole(), "this VM was paused");
+                tracing::warn!(target: "tgw::placement", gap_ms = gap.as_whole_ms(), "this VM was paused");
                 Input::Paused
             }
             CoreMessage::Drain => {
--- a/crates/tgw-serve/src/serve.rs
+++ b/crates/tgw-serve/src/serve.rs
@@ -15,7 +15,7 @@
     thread::JoinHandle,
     time::{Duration, SystemTime, UNIX_EPOCH},
 };
-use tgw_clock::{Clock, Freeze, Millis, Monotonic};
+use tgw_clock::{Clock, Millis, Monotonic, PauseSwitch};
 use tgw_dispatch::leaf::{Failure, Outcome};
 use tgw_member::Rollout;
 use tgw_node::{
@@ -55,7 +55,7 @@
     /// The network to the other VMs; by default the real network without restrictions.
     pub network: Arc<dyn Network>,
     /// Blocks the core, the upstreams worker and the peers worker while set.
-    pub freeze: Freeze,
+    pub freeze: PauseSwitch,
     /// Creates an observer of the core's inputs and outputs, such as a trace recorder.
     pub tap: Option<TapFactory>,
 }
@@ -70,7 +70,7 @@
             settings,
             store: None,
             network: Arc::new(Direct),
-            freeze: Freeze::default(),
+            freeze: PauseSwitch::default(),
             tap: None,
         }
     }
@@ -365,7 +365,7 @@
         keys: Keys::new(peer.key.0, peer.old_key.map(|k| k.0)),
         network,
         clock,
-        freeze: Freeze::default(),
+        freeze: PauseSwitch::default(),
     }
 }
 
@@ -392,7 +392,7 @@
     commands: Receiver<Command>,
     gauges: &Arc<Gauges>,
     clock: &Arc<dyn Clock>,
-    freeze: &Freeze,
+    freeze: &PauseSwitch,
     request_id_base: u64,
     stop: &watch::Receiver<bool>,
 ) -> anyhow::Result<JoinHandle<()>> {
--- a/crates/tgw-serve/src/upstreams.rs
+++ b/crates/tgw-serve/src/upstreams.rs
@@ -9,7 +9,7 @@
     rc::Rc,
     sync::{Arc, atomic::Ordering},
 };
-use tgw_clock::{Clock, Freeze, Millis};
+use tgw_clock::{Clock, Millis, PauseSwitch};
 use tgw_dispatch::{
     Leaf,
     leaf::{Failure, Operation, Reply},
@@ -54,7 +54,7 @@
     commands: Receiver<Command>,
     gauges: Arc<Gauges>,
     clock: Arc<dyn Clock>,
-    freeze: &Freeze,
+    freeze: &PauseSwitch,
     request_id_base: u64,
     mut stop: watch::Receiver<bool>,
 ) {
@@ -77,7 +77,7 @@
             while let Some(command) = commands.pop() {
                 worker.clone().handle(command);
             }
-            freeze.hold();
+            freeze.wait_while_paused();
         }
     });
 }
@@ -149,7 +149,7 @@
                 let _ = self.core.push(CoreMessage::Leaving(upstream));
             }
             self.publish_connections();
-            let interval = PROBE_INTERVAL_MS.scale(rand::rng().random_range(0.8..1.2));
+            let interval = PROBE_INTERVAL_MS.mul_f64(rand::rng().random_range(0.8..1.2));
             tokio::select! {
                 _ = stopped.changed() => return,
                 () = sleep(interval.into()) => {}
--- a/crates/tgw-spread/src/start.rs
+++ b/crates/tgw-spread/src/start.rs
@@ -161,7 +161,7 @@
     pub fn new(now: Millis, options: Options) -> Self {
         let mut rng = SmallRng::seed_from_u64(options.rng_seed);
         let Options { is_seed, first_start, timeouts, .. } = options;
-        let jitter = READ_JITTER_MS.scale(rng.random_range(0.0..1.0));
+        let jitter = READ_JITTER_MS.mul_f64(rng.random_range(0.0..1.0));
         let wait = match (is_seed, first_start) {
             (true, true) => Millis::ZERO,
             (true, false) => timeouts.copy_timeout,
@@ -239,7 +239,7 @@
 
     /// Delays the next read of the store, each time for longer.
     fn back_off(&mut self, now: Millis) {
-        self.read_at = now + self.read_backoff.scale(self.rng.random_range(0.5..1.0));
+        self.read_at = now + self.read_backoff.mul_f64(self.rng.random_range(0.5..1.0));
         self.read_backoff = (self.read_backoff + self.read_backoff).min(MAX_READ_BACKOFF_MS);
     }
 
--- a/crates/tgw-spread/src/store_reads.rs
+++ b/crates/tgw-spread/src/store_reads.rs
@@ -244,7 +244,7 @@
     }
 
     fn back_off(&mut self, now: Millis, failures: u32) {
-        let most = MIN_BACKOFF_MS.scale(f64::from(1u32 << failures.min(6))).min(MAX_BACKOFF_MS);
-        self.backoff_until = now + most.scale(self.rng.random_range(0.5..=1.0));
+        let most = MIN_BACKOFF_MS.mul_f64(f64::from(1u32 << failures.min(6))).min(MAX_BACKOFF_MS);
+        self.backoff_until = now + most.mul_f64(self.rng.random_range(0.5..=1.0));
     }
 }
--- a/crates/tgw-spread/src/upstreams.rs
+++ b/crates/tgw-spread/src/upstreams.rs
@@ -66,7 +66,7 @@
         };
         let retained =
             self.retained.iter().filter(|entry| covered(&entry.id)).filter_map(|entry| {
-                let left = (self.catalog.retention(&entry.id)?.until - now).whole();
+                let left = (self.catalog.retention(&entry.id)?.until - now).as_whole_ms();
                 (left > 0).then(|| Retained { entry: entry.clone(), left })
             });
         let retained = retained.collect();
--- a/crates/tgw-upstream/src/client.rs
+++ b/crates/tgw-upstream/src/client.rs
@@ -196,7 +196,7 @@
             r.header(protocol::REQUEST, search.request)
                 .header(protocol::SNAPSHOT, protocol::write_snapshot(search.snapshot))
                 .header(protocol::SHARD, search.shard.0)
-                .header(protocol::DEADLINE, search.left.whole())
+                .header(protocol::DEADLINE, search.left.as_whole_ms())
         });
         let Ok(request) = request else {
             return Response { result: Err(Failure::Connect), held: None, incarnation: None };
@@ -224,7 +224,7 @@
     /// Sends a non-idempotent request without retries.
     pub async fn order(&self, key: &str, body: Bytes, left: Millis) -> Ordered {
         let built = self.request(Method::POST, protocol::ORDER, body, |r| {
-            r.header(protocol::ORDER_KEY, key).header(protocol::DEADLINE, left.whole())
+            r.header(protocol::ORDER_KEY, key).header(protocol::DEADLINE, left.as_whole_ms())
         });
         let Ok(request) = built else { return Ordered::NotSent };
         match self.exchange(request, left).await {
