--- a/crates/tgw-bench/src/forward.rs
+++ b/crates/tgw-bench/src/forward.rs
@@ -203,8 +203,8 @@
     let mut size = 0;
     let start = Instant::now();
     for _ in 0..ROUNDS {
-        let Ok(frame) = tgw_wire::seal(&keys, datagram) else { continue };
-        size = tgw_wire::open::<Datagram>(&keys, &frame).map_or(0, |_| frame.len());
+        let Ok(frame) = tgw_wire::encode(&keys, datagram) else { continue };
+        size = tgw_wire::decode::<Datagram>(&keys, &frame).map_or(0, |_| frame.len());
     }
     (size as f64, start.elapsed().as_secs_f64() * 1e6 / f64::from(ROUNDS))
 }
--- a/crates/tgw-bench/src/members.rs
+++ b/crates/tgw-bench/src/members.rs
@@ -324,7 +324,7 @@
             most_bytes_per_s: most as f64 / seconds,
             packets_per_s: packets as f64 / seconds / vms,
             processor: spent / seconds / vms,
-            state_bytes: tgw_wire::seal(&self.keys, &records).map_or(0, |f| f.len()),
+            state_bytes: tgw_wire::encode(&self.keys, &records).map_or(0, |f| f.len()),
         }
     }
 
@@ -361,8 +361,8 @@
     }
 
     fn encode_and_decode(&self, packet: &Packet) -> Box<Packet> {
-        let frame = tgw_wire::seal(&self.keys, packet).unwrap_or_default();
-        Box::new(tgw_wire::open(&self.keys, &frame).unwrap_or_else(|_| packet.clone()))
+        let frame = tgw_wire::encode(&self.keys, packet).unwrap_or_default();
+        Box::new(tgw_wire::decode(&self.keys, &frame).unwrap_or_else(|_| packet.clone()))
     }
 
     fn deliver(&mut self, node: usize, event: Event) {
@@ -395,7 +395,7 @@
         match action {
             Action::Send(to, packet) => {
                 if self.measuring {
-                    let bytes = tgw_wire::seal(&self.keys, &*packet).map_or(0, |f| f.len());
+                    let bytes = tgw_wire::encode(&self.keys, &*packet).map_or(0, |f| f.len());
                     let sent = self.sent.entry(node).or_default();
                     sent.0 += (bytes + IP_UDP_HEADER_BYTES) as u64;
                     sent.1 += 1;
--- a/crates/tgw-bench/src/slopes.rs
+++ b/crates/tgw-bench/src/slopes.rs
@@ -174,13 +174,13 @@
     let outcome = Message::Outcome(reply);
     let keys = Keys::new([1; 32], None);
     let size =
-        |messages: &[Message]| tgw_wire::seal(&keys, &messages).map_or(0, |f| f.len()) as f64;
+        |messages: &[Message]| tgw_wire::encode(&keys, &messages).map_or(0, |f| f.len()) as f64;
     let time = |messages: &[Message]| {
         const ROUNDS: u32 = 20_000;
         let start = Instant::now();
         for _ in 0..ROUNDS {
-            let frame = tgw_wire::seal(&keys, &messages).unwrap_or_default();
-            let _: Result<Vec<Message>, _> = tgw_wire::open(&keys, &frame);
+            let frame = tgw_wire::encode(&keys, &messages).unwrap_or_default();
+            let _: Result<Vec<Message>, _> = tgw_wire::decode(&keys, &frame);
         }
         start.elapsed().as_secs_f64() * 1e6 / f64::from(ROUNDS)
     };
@@ -221,12 +221,12 @@
             row.weight += 1;
         }
         let delta = old.next_edition(&wanted).delta(old.edition);
-        let bytes = tgw_wire::seal(&keys, &delta).map_or(0, |f| f.len());
+        let bytes = tgw_wire::encode(&keys, &delta).map_or(0, |f| f.len());
         (format!("{services} services"), bytes as f64)
     };
     let catalog = |services: u16| {
         let catalog = catalog(services);
-        let bytes = tgw_wire::seal(&keys, &catalog.changed_since(0)).map_or(0, |f| f.len());
+        let bytes = tgw_wire::encode(&keys, &catalog.changed_since(0)).map_or(0, |f| f.len());
         (format!("{} upstreams", catalog.upstreams.len()), bytes as f64)
     };
     let part = |services: u16| {
--- a/crates/tgw-gateway/src/packets.rs
+++ b/crates/tgw-gateway/src/packets.rs
@@ -23,7 +23,7 @@
 
     /// Sends a packet. Errors are only logged, since any packet may be lost on its way.
     pub(crate) fn send(&self, to: SocketAddr, datagram: &Datagram) {
-        let frame = match tgw_wire::seal(&self.keys, datagram) {
+        let frame = match tgw_wire::encode(&self.keys, datagram) {
             Ok(frame) => frame,
             Err(error) => return tracing::debug!(%error, %to, "cannot encode packet"),
         };
@@ -38,7 +38,7 @@
         buffer: &mut [u8],
     ) -> io::Result<(Result<Datagram, Error>, SocketAddr)> {
         let (length, from) = self.socket.recv_from(buffer).await?;
-        Ok((tgw_wire::open(&self.keys, &buffer[..length]), from))
+        Ok((tgw_wire::decode(&self.keys, &buffer[..length]), from))
     }
 
     /// The keys that sign frames.
--- a/crates/tgw-gateway/src/state_exchange.rs
+++ b/crates/tgw-gateway/src/state_exchange.rs
@@ -17,7 +17,7 @@
     message::{Update, Versions},
     start, upstreams,
 };
-use tgw_wire::{FRAME_LIMIT, LENGTH};
+use tgw_wire::{LENGTH_PREFIX_BYTES, MAX_FRAME_BYTES};
 use tokio::{
     io::{AsyncReadExt, AsyncWriteExt},
     net::{TcpListener, TcpStream},
@@ -240,7 +240,7 @@
     }
 
     async fn write_message(&self, stream: &mut TcpStream, message: &Message) -> anyhow::Result<()> {
-        let frame = tgw_wire::seal(self.shared.packets.keys(), message)?;
+        let frame = tgw_wire::encode(self.shared.packets.keys(), message)?;
         let mut bytes = u32::try_from(frame.len())?.to_le_bytes().to_vec();
         bytes.extend(frame);
         stream.write_all(&bytes).await?;
@@ -248,17 +248,17 @@
     }
 
     async fn read_message(&self, stream: &mut TcpStream) -> anyhow::Result<Message> {
-        let mut length = [0; LENGTH];
+        let mut length = [0; LENGTH_PREFIX_BYTES];
         stream.read_exact(&mut length).await?;
         let length = u32::from_le_bytes(length) as usize;
         anyhow::ensure!(
-            length <= FRAME_LIMIT,
-            "frame of {length} bytes exceeds the limit of {FRAME_LIMIT} bytes"
+            length <= MAX_FRAME_BYTES,
+            "frame of {length} bytes exceeds the limit of {MAX_FRAME_BYTES} bytes"
         );
         let mut frame = Vec::new();
         // The buffer grows with the data received: a length field alone must not make this VM
         // allocate memory.
         stream.take(length as u64).read_to_end(&mut frame).await?;
-        Ok(tgw_wire::open(self.shared.packets.keys(), &frame)?)
+        Ok(tgw_wire::decode(self.shared.packets.keys(), &frame)?)
     }
 }
--- a/crates/tgw-node/tests/node.rs
+++ b/crates/tgw-node/tests/node.rs
@@ -63,8 +63,8 @@
 fn every_message_decodes_as_it_was_encoded() {
     let keys = Keys::new([7; 32], None);
     for message in messages() {
-        let frame = tgw_wire::seal(&keys, &message).expect("the message fits a frame");
-        let read: Message = tgw_wire::open(&keys, &frame).expect("the frame decodes");
+        let frame = tgw_wire::encode(&keys, &message).expect("the message fits a frame");
+        let read: Message = tgw_wire::decode(&keys, &frame).expect("the frame decodes");
         assert_eq!(read, message);
     }
 }
--- a/crates/tgw-peer/src/link.rs
+++ b/crates/tgw-peer/src/link.rs
@@ -4,7 +4,7 @@
 };
 use std::{collections::VecDeque, net::SocketAddr, rc::Rc, sync::Arc};
 use tgw_clock::Millis;
-use tgw_wire::{FRAME_LIMIT, Keys, LENGTH};
+use tgw_wire::{Keys, LENGTH_PREFIX_BYTES, MAX_FRAME_BYTES};
 use tokio::{
     io::{AsyncReadExt, AsyncWriteExt, BufReader},
     net::TcpStream,
@@ -114,12 +114,12 @@
     let mut stream = BufReader::with_capacity(1 << 16, stream);
     let mut bytes = Vec::new();
     loop {
-        let mut length = [0; LENGTH];
+        let mut length = [0; LENGTH_PREFIX_BYTES];
         if stream.read_exact(&mut length).await.is_err() {
             return;
         }
         let length = u32::from_le_bytes(length) as usize;
-        if length > FRAME_LIMIT {
+        if length > MAX_FRAME_BYTES {
             tracing::warn!(target: "tgw::peer", length, "frame exceeds size limit, link closed");
             return;
         }
@@ -127,7 +127,7 @@
         if stream.read_exact(&mut bytes).await.is_err() {
             return;
         }
-        match tgw_wire::open(&keys, &bytes) {
+        match tgw_wire::decode(&keys, &bytes) {
             Ok(frame) => {
                 let mut delivered = deliver(frame);
                 while let Err(frame) = delivered {
--- a/crates/tgw-peer/src/worker.rs
+++ b/crates/tgw-peer/src/worker.rs
@@ -267,7 +267,7 @@
     }
 
     fn handle_packet(&mut self, bytes: &[u8], from: SocketAddr) {
-        match tgw_wire::open::<Packet>(&self.keys, bytes) {
+        match tgw_wire::decode::<Packet>(&self.keys, bytes) {
             Ok(packet) => self.handle_event(Event::Packet(from, Box::new(packet))),
             Err(error) => {
                 self.counts.rejected_packets.fetch_add(1, Ordering::Relaxed);
@@ -316,7 +316,7 @@
 
     fn send_packet(&self, to: SocketAddr, packet: &Packet) {
         let Reachability::Reachable(delay) = self.network.reachability(to) else { return };
-        let Ok(bytes) = tgw_wire::seal(&self.keys, packet) else { return };
+        let Ok(bytes) = tgw_wire::encode(&self.keys, packet) else { return };
         self.counts.udp_bytes_sent.fetch_add(bytes.len() as u64, Ordering::Relaxed);
         if delay == Millis::ZERO {
             // A packet dropped by a full socket buffer is handled like one lost by the network.
@@ -335,7 +335,7 @@
         let link = Link::open(to, self.network.clone(), || {});
         let frame = self.frame(Payload::Records(records));
         if let (Ok(bytes), Reachability::Reachable(delay)) =
-            (tgw_wire::seal(&self.keys, &frame), self.network.reachability(to))
+            (tgw_wire::encode(&self.keys, &frame), self.network.reachability(to))
         {
             let _ = link.send(delay, bytes);
         }
@@ -357,7 +357,7 @@
 
     fn send_frame(&mut self, to: Vm, payload: Payload) {
         let frame = self.frame(payload);
-        let Ok(bytes) = tgw_wire::seal(&self.keys, &frame) else { return };
+        let Ok(bytes) = tgw_wire::encode(&self.keys, &frame) else { return };
         let sent = match self.link(to) {
             Some((addr, link)) => match self.network.reachability(addr) {
                 Reachability::Reachable(delay) => link.send(delay, bytes),
--- a/crates/tgw-wire/src/frame.rs
+++ b/crates/tgw-wire/src/frame.rs
@@ -9,14 +9,14 @@
 /// Size of the header before the payload: version and keyed hash.
 pub const HEADER_BYTES: usize = 1 + MAC_BYTES;
 /// Size of the length prefix of a frame on a stream.
-pub const LENGTH: usize = 4;
+pub const LENGTH_PREFIX_BYTES: usize = 4;
 /// Largest size of a frame.
-pub const FRAME_LIMIT: usize = 8 << 20;
+pub const MAX_FRAME_BYTES: usize = 8 << 20;
 
 /// Why a frame was rejected.
 #[derive(Copy, Clone, Debug, Display, StdError, PartialEq, Eq)]
 pub enum Error {
-    /// The frame is shorter than its header or longer than [`FRAME_LIMIT`].
+    /// The frame is shorter than its header or longer than [`MAX_FRAME_BYTES`].
     #[display("frame of {_0} bytes")]
     Size(#[error(not(source))] usize),
     /// The frame has another format version.
@@ -30,12 +30,12 @@
     Payload,
 }
 
-/// Encodes `value` as a signed frame. Fails if the frame would be larger than [`FRAME_LIMIT`].
-pub fn seal<T: Serialize>(keys: &Keys, value: &T) -> Result<Vec<u8>, Error> {
+/// Encodes `value` as a signed frame. Fails if the frame would be larger than [`MAX_FRAME_BYTES`].
+pub fn encode<T: Serialize>(keys: &Keys, value: &T) -> Result<Vec<u8>, Error> {
     let mut frame = vec![0; HEADER_BYTES];
     frame[0] = FORMAT_VERSION;
     let mut frame = postcard::to_extend(value, frame).map_err(|_| Error::Payload)?;
-    if frame.len() > FRAME_LIMIT {
+    if frame.len() > MAX_FRAME_BYTES {
         return Err(Error::Size(frame.len()));
     }
     let mac = blake3::keyed_hash(&keys.current, &frame[HEADER_BYTES..]);
@@ -44,8 +44,8 @@
 }
 
 /// Verifies the size, version and signature of a frame and decodes its payload.
-pub fn open<T: DeserializeOwned>(keys: &Keys, frame: &[u8]) -> Result<T, Error> {
-    if frame.len() < HEADER_BYTES || frame.len() > FRAME_LIMIT {
+pub fn decode<T: DeserializeOwned>(keys: &Keys, frame: &[u8]) -> Result<T, Error> {
+    if frame.len() < HEADER_BYTES || frame.len() > MAX_FRAME_BYTES {
         return Err(Error::Size(frame.len()));
     }
     if frame[0] != FORMAT_VERSION {
--- a/crates/tgw-wire/src/lib.rs
+++ b/crates/tgw-wire/src/lib.rs
@@ -6,5 +6,5 @@
 /// The keys that sign frames.
 mod keys;
 
-pub use frame::{Error, FRAME_LIMIT, HEADER_BYTES, LENGTH, open, seal};
+pub use frame::{Error, HEADER_BYTES, LENGTH_PREFIX_BYTES, MAX_FRAME_BYTES, decode, encode};
 pub use keys::Keys;
