--- a/crates/tanagergw/src/settings.rs
+++ b/crates/tanagergw/src/settings.rs
@@ -35,7 +35,7 @@
 
 /// Opens a settings file. If it has findings, prints them and returns the exit code.
 pub(crate) fn open(file: &str) -> Result<Settings, ExitCode> {
-    tgw_settings::open(file).map_err(|findings: Vec<Finding>| {
+    tgw_settings::load(file).map_err(|findings: Vec<Finding>| {
         for finding in &findings {
             eprintln!("{finding}");
         }
--- a/crates/tgw-settings/src/lib.rs
+++ b/crates/tgw-settings/src/lib.rs
@@ -11,5 +11,5 @@
 mod settings;
 
 pub use finding::Finding;
-pub use read::{open, parse};
+pub use read::{load, parse};
 pub use settings::{Key, Listen, Log, Network, Peer, Platform, Secret, Settings, Vm};
--- a/crates/tgw-settings/src/read.rs
+++ b/crates/tgw-settings/src/read.rs
@@ -15,7 +15,7 @@
 ];
 
 /// Reads and parses the file at `path`. Returns all findings if there are any.
-pub fn open(path: &str) -> Result<Settings, Vec<Finding>> {
+pub fn load(path: &str) -> Result<Settings, Vec<Finding>> {
     match fs::read_to_string(path) {
         Ok(text) => parse(path, &text),
         Err(e) => Err(vec![Finding {
