--- a/crates/tanagergw/src/serve.rs
+++ b/crates/tanagergw/src/serve.rs
@@ -21,8 +21,8 @@
     };
     logs::init(settings.log.json, &settings.log.filter);
     let handle = tgw_serve::spawn(Options::new(settings))?;
-    tracing::info!(callers = %handle.callers(), operators = %handle.operators(),
-        peers = %handle.peers(), "serving");
+    tracing::info!(callers = %handle.callers_addr(), operators = %handle.operators_addr(),
+        peers = %handle.peers_addr(), "serving");
     signal::wait_for_shutdown()?;
     tracing::info!("draining: finishing all running requests");
     let finished = handle.drain(DRAIN_TIMEOUT_S);
--- a/crates/tgw-demo/src/fleet.rs
+++ b/crates/tgw-demo/src/fleet.rs
@@ -160,16 +160,16 @@
             options.network = Arc::new(network);
         }
         if let Some(path) = self.size.record.clone().filter(|_| index == 0) {
-            options.tap = Some(Box::new(move |core| {
+            options.observer_factory = Some(Box::new(move |core| {
                 let file = File::create(&path)
                     .with_context(|| format!("cannot write {}", path.display()))?;
                 Ok(Box::new(Recorder::open(BufWriter::new(file), core)?))
             }));
         }
-        let freeze = options.freeze.clone();
+        let freeze = options.pause_switch.clone();
         let handle = tgw_serve::spawn(options)?;
-        self.links.add_vm(handle.peers(), place);
-        let addr = handle.peers().to_string();
+        self.links.add_vm(handle.peers_addr(), place);
+        let addr = handle.peers_addr().to_string();
         self.platform.write("vm", &name, json!({ "addr": addr }));
         Ok(Vm { name, place, freeze, handle: Some(handle) })
     }
@@ -203,7 +203,7 @@
 
     /// Addresses at which the running VMs serve callers.
     pub fn entries(&self) -> Vec<SocketAddr> {
-        self.vms.iter().filter_map(|vm| vm.handle.as_ref()).map(Handle::callers).collect()
+        self.vms.iter().filter_map(|vm| vm.handle.as_ref()).map(Handle::callers_addr).collect()
     }
 
     /// Waits until all running VMs accept queries and know of one another.
@@ -211,9 +211,9 @@
         let until = std::time::Instant::now() + READY_TIMEOUT;
         let running = || self.vms.iter().filter_map(|vm| vm.handle.as_ref());
         let count = running().count() as u64;
-        while !running().all(|h| h.ready() && h.members() >= count) {
+        while !running().all(|h| h.is_ready() && h.owner_candidates() >= count) {
             if std::time::Instant::now() > until {
-                let seen: Vec<u64> = running().map(Handle::members).collect();
+                let seen: Vec<u64> = running().map(Handle::owner_candidates).collect();
                 anyhow::bail!(
                     "VMs not ready in time; members known to each: {seen:?}, expected {count}"
                 );
--- a/crates/tgw-demo/src/run.rs
+++ b/crates/tgw-demo/src/run.rs
@@ -102,7 +102,7 @@
         entry: fleet.entries().iter().map(|a| format!("http://{a}")).collect(),
         platform: format!("http://{}", fleet.platform_addr),
         admin_token: ADMIN_TOKEN.into(),
-        operators: operators.map(|h| format!("http://{}", h.operators())).collect(),
+        operators: operators.map(|h| format!("http://{}", h.operators_addr())).collect(),
     });
     stop();
     fleet.close();
@@ -199,7 +199,7 @@
                 // the other VMs still consider it the owner of its groups.
                 set_entries(fleet, entries);
                 std::thread::sleep(Duration::from_millis(50));
-                handle.kill();
+                handle.abort();
             }
         }
         Fault::PauseOwner => {
--- a/crates/tgw-demo/tests/fleet.rs
+++ b/crates/tgw-demo/tests/fleet.rs
@@ -33,7 +33,7 @@
 }
 
 fn access(fleet: &Fleet) -> Access {
-    let addrs = fleet.vms.iter().filter_map(|vm| vm.handle.as_ref()).map(Handle::operators);
+    let addrs = fleet.vms.iter().filter_map(|vm| vm.handle.as_ref()).map(Handle::operators_addr);
     Access { addrs: addrs.collect(), token: tgw_demo::ADMIN_TOKEN.into() }
 }
 
@@ -155,7 +155,7 @@
     eventually("the edition in force at every VM", || {
         let seen = runtime.block_on(status::fetch(&access));
         seen.views.len() == 4
-            && seen.views.iter().all(|v| v.edit == edit)
+            && seen.views.iter().all(|v| v.edition == edit)
             && status::not_in_force(&seen.views[0], edit).is_empty()
     });
     let later = status::not_in_force(&runtime.block_on(status::fetch(&access)).views[0], edit + 1);
@@ -168,13 +168,13 @@
 #[test]
 fn new_vm_starts_from_its_peers_while_the_platform_is_down() {
     let mut fleet = Fleet::open(size(User::Aspen, 2)).expect("a fleet");
-    let seed = fleet.vms[0].handle.as_ref().expect("running").peers();
+    let seed = fleet.vms[0].handle.as_ref().expect("running").peers_addr();
     fleet.platform.set(|f| f.down = true);
     let vm = fleet.start_vm_with_seeds(2, "late".into(), &[seed]).expect("it starts");
     fleet.vms.push(vm);
     let new_vm = fleet.vms[2].handle.as_ref().expect("running");
-    eventually("the new VM accepts queries", || new_vm.ready());
-    let (status, _) = runtime().block_on(search(new_vm.callers(), "ledger-bridge", "q", "{}"));
+    eventually("the new VM accepts queries", || new_vm.is_ready());
+    let (status, _) = runtime().block_on(search(new_vm.callers_addr(), "ledger-bridge", "q", "{}"));
     assert_eq!(status, 200);
     fleet.platform.set(|f| f.down = false);
     fleet.close();
--- a/crates/tgw-operate/src/status.rs
+++ b/crates/tgw-operate/src/status.rs
@@ -31,17 +31,17 @@
 /// is in force everywhere.
 pub fn not_in_force(status: &Status, edit: u64) -> Vec<String> {
     let mut outdated = Vec::new();
-    if status.edit < edit {
-        outdated.push(format!("{}: edition {} is in force", status.vm, status.edit));
+    if status.edition < edit {
+        outdated.push(format!("{}: edition {} is in force", status.vm, status.edition));
     }
     for domain in &status.domains {
         if !domain.reachable {
             outdated.push(format!("domain {}: cut off, edition unknown", domain.domain));
-        } else if domain.edit < edit {
-            let example = domain.example.as_deref().unwrap_or("its VMs");
+        } else if domain.lowest_edition < edit {
+            let example = domain.example_behind.as_deref().unwrap_or("its VMs");
             let text = format!(
                 "domain {}: edition {} at {example} ({} behind)",
-                domain.domain, domain.edit, domain.behind
+                domain.domain, domain.lowest_edition, domain.vms_behind
             );
             outdated.push(text);
         }
@@ -71,9 +71,12 @@
     }
     let _ = writeln!(out, "\n{:<8} {:<8} {:<8} slowest", "domain", "edition", "behind");
     for domain in &first.domains {
-        let example = domain.example.as_deref().unwrap_or("-");
-        let _ =
-            writeln!(out, "{:<8} {:<8} {:<8} {example}", domain.domain, domain.edit, domain.behind);
+        let example = domain.example_behind.as_deref().unwrap_or("-");
+        let _ = writeln!(
+            out,
+            "{:<8} {:<8} {:<8} {example}",
+            domain.domain, domain.lowest_edition, domain.vms_behind
+        );
     }
     let _ = writeln!(
         out,
@@ -90,10 +93,10 @@
             _ if line.leaving => "leaving",
             _ => "?",
         };
-        let running = reported.map_or(0, |s| s.running);
+        let in_flight = reported.map_or(0, |s| s.in_flight);
         let _ = writeln!(
             out,
-            "{:<9} {:<18} {:<10} {:<20} {state:<10} {running}",
+            "{:<9} {:<18} {:<10} {:<20} {state:<10} {in_flight}",
             line.upstream, line.service, line.group, line.owner
         );
     }
--- a/crates/tgw-serve/src/queries.rs
+++ b/crates/tgw-serve/src/queries.rs
@@ -91,7 +91,7 @@
     }
 
     /// Runs on the current thread until `stop` changes.
-    pub(crate) fn run(mut self, freeze: &PauseSwitch, mut stop: watch::Receiver<bool>) {
+    pub(crate) fn run(mut self, pause_switch: &PauseSwitch, mut stop: watch::Receiver<bool>) {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build();
         let Ok(runtime) = runtime else { return };
         runtime.block_on(async move {
@@ -107,7 +107,7 @@
                     }
                     () = self.receiver.ready() => self.run_batch(false),
                 }
-                freeze.wait_while_paused();
+                pause_switch.wait_while_paused();
             }
         });
     }
@@ -371,9 +371,9 @@
         let domains = self.rollouts.iter().map(|(domain, rollout)| DomainStatus {
             domain: domain.0,
             reachable: !directory.unreachable_domains.contains(domain),
-            edit: rollout.lowest_edition,
-            behind: rollout.behind,
-            example: rollout.example.map(|vm| self.vm_name(vm)),
+            lowest_edition: rollout.lowest_edition,
+            vms_behind: rollout.behind,
+            example_behind: rollout.example.map(|vm| self.vm_name(vm)),
         });
         let stats = self.node.stats();
         Status {
@@ -381,7 +381,7 @@
             place: self.place.clone(),
             ready: self.is_ready(),
             draining: self.draining,
-            edit: self.node.table().map_or(0, |t| t.edition),
+            edition: self.node.table().map_or(0, |t| t.edition),
             catalog_version: self.node.catalog().version,
             vms: vms.collect(),
             domains: domains.collect(),
@@ -417,7 +417,7 @@
                 .estimate(now, node.id)
                 .map(|b| format!("{:?}", b.0))
                 .unwrap_or_default(),
-            running: self.node.in_flight(node.id),
+            in_flight: self.node.in_flight(node.id),
             leaving: self.node.is_leaving(node.id),
         };
         catalog.upstreams.values().map(status_of).collect()
--- a/crates/tgw-serve/src/serve.rs
+++ b/crates/tgw-serve/src/serve.rs
@@ -55,9 +55,9 @@
     /// The network to the other VMs; by default the real network without restrictions.
     pub network: Arc<dyn Network>,
     /// Blocks the core, the upstreams worker and the peers worker while set.
-    pub freeze: PauseSwitch,
+    pub pause_switch: PauseSwitch,
     /// Creates an observer of the core's inputs and outputs, such as a trace recorder.
-    pub tap: Option<TapFactory>,
+    pub observer_factory: Option<TapFactory>,
 }
 
 /// Creates an observer for a core of this identity.
@@ -70,8 +70,8 @@
             settings,
             store: None,
             network: Arc::new(Direct),
-            freeze: PauseSwitch::default(),
-            tap: None,
+            pause_switch: PauseSwitch::default(),
+            observer_factory: None,
         }
     }
 }
@@ -96,27 +96,27 @@
 
 impl Handle {
     /// The address that serves callers.
-    pub fn callers(&self) -> SocketAddr {
+    pub fn callers_addr(&self) -> SocketAddr {
         self.callers
     }
 
     /// The address that serves operators.
-    pub fn operators(&self) -> SocketAddr {
+    pub fn operators_addr(&self) -> SocketAddr {
         self.operators
     }
 
     /// The address that receives peer traffic.
-    pub fn peers(&self) -> SocketAddr {
+    pub fn peers_addr(&self) -> SocketAddr {
         self.peers.addr()
     }
 
     /// Whether new queries are accepted.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         self.gauges.accepting()
     }
 
     /// Number of VMs that may own groups, as seen by this VM.
-    pub fn members(&self) -> u64 {
+    pub fn owner_candidates(&self) -> u64 {
         self.gauges.members.load(Ordering::Relaxed)
     }
 
@@ -145,12 +145,12 @@
             std::thread::sleep(Duration::from_millis(5));
             idle = *self.idle.borrow();
         }
-        self.kill();
+        self.abort();
         idle
     }
 
     /// Stops immediately without finishing requests, like a crash.
-    pub fn kill(mut self) {
+    pub fn abort(mut self) {
         let _ = self.close.send(true);
         let _ = self.stop.send(true);
         self.peers.join();
@@ -232,7 +232,7 @@
 /// Starts all workers. Fails if an address cannot be bound, a thread cannot be started, or the metrics
 /// or the observer cannot be created.
 pub fn spawn(options: Options) -> anyhow::Result<Handle> {
-    let Options { settings, store, network, freeze, tap } = options;
+    let Options { settings, store, network, pause_switch, observer_factory } = options;
     let clock: Arc<dyn Clock> = Arc::new(Monotonic::default());
     let gauges = Arc::new(Gauges::default());
     let metrics = Arc::new(Metrics::new(&gauges)?);
@@ -249,13 +249,13 @@
 
     let sink = Box::new(Sink { core: core.clone(), config: config.clone() });
     let mut peer = peer_options(&settings, vm, incarnation, place, network, clock.clone());
-    peer.freeze = freeze.clone();
+    peer.freeze = pause_switch.clone();
     let peers = tgw_peer::bind(peer, outgoing_receiver, sink, stopped.clone())?;
 
     let identity = identity(&settings, vm, incarnation, place);
     let mut node = Node::new(tgw_node::Options::production(&identity));
-    if let Some(tap) = tap {
-        node.set_observer(tap(&identity)?);
+    if let Some(observer_factory) = observer_factory {
+        node.set_observer(observer_factory(&identity)?);
     }
     let channels = Channels {
         receiver: core_receiver,
@@ -269,14 +269,14 @@
     let queries = Queries::new(name, &place, node, clock.clone(), gauges.clone(), channels);
     let mut threads = Vec::new();
     let stop_receiver = stopped.clone();
-    let frozen = freeze.clone();
+    let frozen = pause_switch.clone();
     threads.push(spawn_thread("queries", move || queries.run(&frozen, stop_receiver))?);
     threads.push(spawn_upstreams(
         &core,
         command_receiver,
         &gauges,
         &clock,
-        &freeze,
+        &pause_switch,
         incarnation,
         &stopped,
     )?);
@@ -392,14 +392,14 @@
     commands: Receiver<Command>,
     gauges: &Arc<Gauges>,
     clock: &Arc<dyn Clock>,
-    freeze: &PauseSwitch,
+    pause_switch: &PauseSwitch,
     request_id_base: u64,
     stop: &watch::Receiver<bool>,
 ) -> anyhow::Result<JoinHandle<()>> {
     let (core, gauges, clock) = (core.clone(), gauges.clone(), clock.clone());
-    let (freeze, stop) = (freeze.clone(), stop.clone());
+    let (pause_switch, stop) = (pause_switch.clone(), stop.clone());
     spawn_thread("upstreams", move || {
-        upstreams::run(core, commands, gauges, clock, &freeze, request_id_base, stop);
+        upstreams::run(core, commands, gauges, clock, &pause_switch, request_id_base, stop);
     })
 }
 
--- a/crates/tgw-serve/src/status.rs
+++ b/crates/tgw-serve/src/status.rs
@@ -16,7 +16,8 @@
     /// Whether the VM is draining.
     pub draining: bool,
     /// The edition of the table in force.
-    pub edit: u64,
+    #[serde(rename = "edit")]
+    pub edition: u64,
     /// The version of the catalog in force.
     #[serde(rename = "world")]
     pub catalog_version: u64,
@@ -53,11 +54,14 @@
     /// Whether the failure domain is reachable.
     pub reachable: bool,
     /// The lowest table edition in force on any live VM of the domain.
-    pub edit: u64,
+    #[serde(rename = "edit")]
+    pub lowest_edition: u64,
     /// Number of VMs below the highest edition known in the domain.
-    pub behind: u16,
+    #[serde(rename = "behind")]
+    pub vms_behind: u16,
     /// The name of one VM that is behind.
-    pub example: Option<String>,
+    #[serde(rename = "example")]
+    pub example_behind: Option<String>,
 }
 
 /// An upstream as seen by the reporting VM.
@@ -74,7 +78,8 @@
     /// The owner's health estimate of the upstream; empty if this VM is not the owner.
     pub state: String,
     /// Requests from this VM in flight at the upstream.
-    pub running: usize,
+    #[serde(rename = "running")]
+    pub in_flight: usize,
     /// Whether the upstream is draining.
     pub leaving: bool,
 }
--- a/crates/tgw-serve/src/upstreams.rs
+++ b/crates/tgw-serve/src/upstreams.rs
@@ -54,7 +54,7 @@
     commands: Receiver<Command>,
     gauges: Arc<Gauges>,
     clock: Arc<dyn Clock>,
-    freeze: &PauseSwitch,
+    pause_switch: &PauseSwitch,
     request_id_base: u64,
     mut stop: watch::Receiver<bool>,
 ) {
@@ -77,7 +77,7 @@
             while let Some(command) = commands.pop() {
                 worker.clone().handle(command);
             }
-            freeze.wait_while_paused();
+            pause_switch.wait_while_paused();
         }
     });
 }
