--- a/crates/tanagergw/src/table.rs
+++ b/crates/tanagergw/src/table.rs
@@ -164,7 +164,7 @@
     loop {
         let fleet = status::fetch(access).await;
         let outdated: Vec<String> = match fleet.views.first() {
-            Some(view) => status::not_in_force(view, edition),
+            Some(view) => status::outdated(view, edition),
             None => fleet.unresponsive.clone(),
         };
         if outdated.is_empty() {
--- a/crates/tgw-demo/tests/fleet.rs
+++ b/crates/tgw-demo/tests/fleet.rs
@@ -156,9 +156,9 @@
         let seen = runtime.block_on(status::fetch(&access));
         seen.views.len() == 4
             && seen.views.iter().all(|v| v.edition == edit)
-            && status::not_in_force(&seen.views[0], edit).is_empty()
+            && status::outdated(&seen.views[0], edit).is_empty()
     });
-    let later = status::not_in_force(&runtime.block_on(status::fetch(&access)).views[0], edit + 1);
+    let later = status::outdated(&runtime.block_on(status::fetch(&access)).views[0], edit + 1);
     assert!(!later.is_empty(), "an edition that no VM has is not in force");
     fleet.close();
 }
--- a/crates/tgw-operate/src/status.rs
+++ b/crates/tgw-operate/src/status.rs
@@ -29,15 +29,15 @@
 
 /// VMs and failure domains where an edition of the table is not yet in force, as one VM sees them; empty if it
 /// is in force everywhere.
-pub fn not_in_force(status: &Status, edit: u64) -> Vec<String> {
+pub fn outdated(status: &Status, edition: u64) -> Vec<String> {
     let mut outdated = Vec::new();
-    if status.edition < edit {
+    if status.edition < edition {
         outdated.push(format!("{}: edition {} is in force", status.vm, status.edition));
     }
     for domain in &status.domains {
         if !domain.reachable {
             outdated.push(format!("domain {}: cut off, edition unknown", domain.domain));
-        } else if domain.lowest_edition < edit {
+        } else if domain.lowest_edition < edition {
             let example = domain.example_behind.as_deref().unwrap_or("its VMs");
             let text = format!(
                 "domain {}: edition {} at {example} ({} behind)",
