--- a/crates/tgw-demo/src/run.rs
+++ b/crates/tgw-demo/src/run.rs
@@ -102,7 +102,7 @@
         entry: fleet.entries().iter().map(|a| format!("http://{a}")).collect(),
         platform: format!("http://{}", fleet.platform_addr),
         admin_token: ADMIN_TOKEN.into(),
-        operators: operators.map(|h| format!("http://{}", h.operators())).collect(),
+        operators: operators.map(|h| format!("http://{}", h.operators_addr())).collect(),
     });
     stop();
     fleet.close();
@@ -199,12 +199,12 @@
                 // the other VMs still consider it the owner of its groups.
                 set_entries(fleet, entries);
                 std::thread::sleep(Duration::from_millis(50));
-                handle.kill();
+                handle.abort();
             }
         }
         Fault::PauseOwner => {
             if let Some(vm) = fleet.vms.iter().rfind(|vm| vm.handle.is_some()) {
-                vm.freeze.set(true);
+                vm.freeze.set_paused(true);
             }
         }
         Fault::Replace => replace_vm(fleet, entries)?,
@@ -243,7 +243,7 @@
                 set_entries(fleet, entries);
             }
         }
-        Fault::PauseOwner => fleet.vms.iter().for_each(|vm| vm.freeze.set(false)),
+        Fault::PauseOwner => fleet.vms.iter().for_each(|vm| vm.freeze.set_paused(false)),
         Fault::StoreDown => fleet.platform.set(|f| f.down = false),
         Fault::Partition => {
             let domain = fleet.vms[0].place.domain;
--- a/crates/tgw-peer/src/worker.rs
+++ b/crates/tgw-peer/src/worker.rs
@@ -15,7 +15,7 @@
     },
     thread::JoinHandle,
 };
-use tgw_clock::{Clock, Freeze, Millis};
+use tgw_clock::{Clock, Millis, PauseSwitch};
 use tgw_member::{Action, Event, Member, Packet, Record, Rollout};
 use tgw_owner::Directory;
 use tgw_ring::Receiver;
@@ -46,7 +46,7 @@
     /// The clock that all threads of the process share.
     pub clock: Arc<dyn Clock>,
     /// Blocks the worker while a simulated freeze of the VM lasts.
-    pub freeze: Freeze,
+    pub freeze: PauseSwitch,
 }
 
 /// Commands from other threads.
@@ -170,7 +170,7 @@
     keys: Rc<Keys>,
     network: Arc<dyn Network>,
     clock: Arc<dyn Clock>,
-    freeze: Freeze,
+    freeze: PauseSwitch,
     member: Member,
     udp: Rc<UdpSocket>,
     links: BTreeMap<Vm, (SocketAddr, Link)>,
@@ -238,7 +238,7 @@
                     }
                 }
             }
-            self.freeze.hold();
+            self.freeze.wait_while_paused();
             self.remove_ended_links();
         }
     }
@@ -267,7 +267,7 @@
     }
 
     fn handle_packet(&mut self, bytes: &[u8], from: SocketAddr) {
-        match tgw_wire::open::<Packet>(&self.keys, bytes) {
+        match tgw_wire::decode::<Packet>(&self.keys, bytes) {
             Ok(packet) => self.handle_event(Event::Packet(from, Box::new(packet))),
             Err(error) => {
                 self.counts.rejected_packets.fetch_add(1, Ordering::Relaxed);
@@ -316,7 +316,7 @@
 
     fn send_packet(&self, to: SocketAddr, packet: &Packet) {
         let Reachability::Reachable(delay) = self.network.reachability(to) else { return };
-        let Ok(bytes) = tgw_wire::seal(&self.keys, packet) else { return };
+        let Ok(bytes) = tgw_wire::encode(&self.keys, packet) else { return };
         self.counts.udp_bytes_sent.fetch_add(bytes.len() as u64, Ordering::Relaxed);
         if delay == Millis::ZERO {
             // A packet dropped by a full socket buffer is handled like one lost by the network.
@@ -335,7 +335,7 @@
         let link = Link::open(to, self.network.clone(), || {});
         let frame = self.frame(Payload::Records(records));
         if let (Ok(bytes), Reachability::Reachable(delay)) =
-            (tgw_wire::seal(&self.keys, &frame), self.network.reachability(to))
+            (tgw_wire::encode(&self.keys, &frame), self.network.reachability(to))
         {
             let _ = link.send(delay, bytes);
         }
@@ -357,7 +357,7 @@
 
     fn send_frame(&mut self, to: Vm, payload: Payload) {
         let frame = self.frame(payload);
-        let Ok(bytes) = tgw_wire::seal(&self.keys, &frame) else { return };
+        let Ok(bytes) = tgw_wire::encode(&self.keys, &frame) else { return };
         let sent = match self.link(to) {
             Some((addr, link)) => match self.network.reachability(addr) {
                 Reachability::Reachable(delay) => link.send(delay, bytes),
