--- a/crates/tanagergw/src/gateway.rs
+++ b/crates/tanagergw/src/gateway.rs
@@ -7,7 +7,7 @@
     Options,
     log::{self, DropCounter, Log},
 };
-use tgw_site::{Objects, Settings, Site, settings};
+use tgw_site::{ObjectStore, PlatformCodec, Settings, settings};
 use tokio::{runtime, signal::unix, task::LocalSet, time::sleep};
 
 /// Interval at which the settings file is checked for changes.
@@ -16,7 +16,7 @@
 #[derive(clap::Args)]
 pub(crate) struct Args {
     /// The platform's settings file.
-    #[arg(long, env = settings::VARIABLE)]
+    #[arg(long, env = settings::PATH_VARIABLE)]
     settings: String,
     /// Log filter, such as `info` or `tgw_gateway=debug`.
     #[arg(long, default_value = "info")]
@@ -47,7 +47,7 @@
 
 fn read_settings(path: &str) -> anyhow::Result<Settings> {
     let text = std::fs::read_to_string(path).with_context(|| format!("cannot read {path}"))?;
-    settings::read(&text).map_err(|findings| {
+    settings::parse(&text).map_err(|findings| {
         let lines: Vec<String> = findings.iter().map(|f| format!("{path}: {f}")).collect();
         anyhow::anyhow!("{}", lines.join("\n"))
     })
@@ -61,10 +61,10 @@
 ) -> anyhow::Result<ExitCode> {
     let mut term = unix::signal(unix::SignalKind::terminate())?;
     let mut hup = unix::signal(unix::SignalKind::hangup())?;
-    let store = Rc::new(Objects::open(settings.store));
+    let store = Rc::new(ObjectStore::new(settings.store_addr));
     let options = Options {
         settings: settings.gateway.clone(),
-        codec: Box::new(Site::default()),
+        codec: Box::new(PlatformCodec::default()),
         store: store.clone(),
         dropped_lines: Some(dropped_lines),
         policy,
@@ -81,7 +81,7 @@
         match read_settings(path) {
             Ok(settings) if settings == current => {}
             Ok(settings) => {
-                store.move_to(settings.store);
+                store.set_addr(settings.store_addr);
                 handle.reload(&settings.gateway);
                 current = settings;
             }
