--- a/crates/tanagergw/src/access.rs
+++ b/crates/tanagergw/src/access.rs
@@ -50,7 +50,7 @@
     let settings = open_settings(platform)?;
     let addr = platform.platform.or(settings.map(|s| s.platform.addr));
     let addr = addr.context("no platform address: pass --settings FILE or --platform ADDRESS");
-    Ok(Http::open(addr.map_err(Failure::Error)?, PLATFORM_TIMEOUT_MS))
+    Ok(Http::new(addr.map_err(Failure::Error)?, PLATFORM_TIMEOUT_MS))
 }
 
 /// Addresses and token of the VMs' operator APIs.
--- a/crates/tgw-demo/tests/fleet.rs
+++ b/crates/tgw-demo/tests/fleet.rs
@@ -29,7 +29,7 @@
 }
 
 fn store(fleet: &Fleet) -> Http {
-    Http::open(fleet.platform_addr, tgw_clock::Millis::new(2000))
+    Http::new(fleet.platform_addr, tgw_clock::Millis::new(2000))
 }
 
 fn access(fleet: &Fleet) -> Access {
--- a/crates/tgw-gateway/src/discovery.rs
+++ b/crates/tgw-gateway/src/discovery.rs
@@ -1,7 +1,7 @@
 use crate::{peers::Peers, shared::Shared};
 use serde_json::json;
 use std::{net::SocketAddr, rc::Rc, time::Duration};
-use tgw_platform::{Error, Expect, Store};
+use tgw_platform::{Error, Precondition, Store};
 use tokio::time::sleep;
 
 /// Time after the start for the seeds of the settings to respond.
@@ -47,7 +47,7 @@
 async fn publish(shared: &Shared, store: &dyn Store, peers: &Peers) -> Result<(), Error> {
     let (kind, name) = (&shared.codec.kinds().vms, &shared.settings.vm);
     let value = json!({ ADDRESS_KEY: peers.addr().to_string() });
-    let written = store.put(kind, name, Expect::Absent, &value).await;
+    let written = store.put(kind, name, Precondition::Absent, &value).await;
     shared.metrics.count_store_call("put", &written);
     match written {
         // An earlier process of this VM published the address; it belongs to the machine and has
--- a/crates/tgw-operate/src/table.rs
+++ b/crates/tgw-operate/src/table.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::time::{SystemTime, UNIX_EPOCH};
-use tgw_platform::{Error as StoreError, Expect, Store, Version};
+use tgw_platform::{Error as StoreError, Precondition, Store, Version};
 use tgw_table::{
     Document, Edition, Finding,
     diff::{self, Change},
@@ -139,13 +139,14 @@
 ) -> Result<Edition, Refusal> {
     let invalid_json = |e: serde_json::Error| Refusal::Unknown { reason: e.to_string() };
     let value: Value = serde_json::to_value(next).map_err(invalid_json)?;
-    let expect = if version == 0 { Expect::Absent } else { Expect::At(version) };
+    let precondition =
+        if version == 0 { Precondition::Absent } else { Precondition::Version(version) };
     let mut reason = String::new();
     for attempt in 0..MAX_WRITE_ATTEMPTS {
         // Only on the first attempt does `Unavailable` mean that nothing was written: an earlier write whose
         // reply was lost may have taken effect.
         let first = attempt == 0;
-        match store.put(OBJECT_KIND, OBJECT_NAME, expect, &value).await {
+        match store.put(OBJECT_KIND, OBJECT_NAME, precondition, &value).await {
             Ok(_) => return Ok(next.document.edition),
             Err(StoreError::Unavailable { reason }) if first => {
                 return Err(Refusal::Unavailable { reason });
--- a/crates/tgw-operate/tests/operate/table.rs
+++ b/crates/tgw-operate/tests/operate/table.rs
@@ -19,7 +19,7 @@
         platform.write("table", "main", table);
         let serving = platform.clone();
         tokio::task::spawn_local(async move { serving.serve(listener).await });
-        test(platform, Http::open(addr, Millis::new(2000))).await;
+        test(platform, Http::new(addr, Millis::new(2000))).await;
     });
 }
 
--- a/crates/tgw-platform/src/http.rs
+++ b/crates/tgw-platform/src/http.rs
@@ -1,6 +1,6 @@
 use crate::{
-    object::{Error, LIMIT_BYTES, List, Object, Version},
-    store::{Expect, Store, StoreFuture},
+    object::{Error, List, MAX_VALUE_BYTES, Object, Version},
+    store::{Precondition, Store, StoreFuture},
 };
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::{Method, Request, StatusCode, body::Bytes};
@@ -14,7 +14,7 @@
 use tgw_clock::Millis;
 
 /// Largest reply body that is accepted. A list may hold many objects, hence a multiple of the largest value.
-const MAX_REPLY_BYTES: usize = 64 * LIMIT_BYTES;
+const MAX_REPLY_BYTES: usize = 64 * MAX_VALUE_BYTES;
 
 /// Client of the platform's object API over HTTP and JSON.
 #[derive(Clone, Debug)]
@@ -32,7 +32,7 @@
 
 impl Http {
     /// Creates a client of the platform at `addr` with a timeout for each call. Connects on first use.
-    pub fn open(addr: SocketAddr, timeout: Millis) -> Self {
+    pub fn new(addr: SocketAddr, timeout: Millis) -> Self {
         let client = Client::builder(TokioExecutor::new()).build_http();
         Self { client, addr, timeout }
     }
@@ -104,13 +104,13 @@
         &'a self,
         kind: &'a str,
         name: &'a str,
-        expect: Expect,
+        precondition: Precondition,
         value: &'a Value,
     ) -> StoreFuture<'a, Version> {
         Box::pin(async move {
-            let expected = match expect {
-                Expect::Absent => 0,
-                Expect::At(version) => version,
+            let expected = match precondition {
+                Precondition::Absent => 0,
+                Precondition::Version(version) => version,
             };
             let path = format!("/objects/{kind}/{name}?if={expected}");
             let reply = self.call(Method::PUT, path, Some(value), Millis::ZERO).await?;
--- a/crates/tgw-platform/src/lib.rs
+++ b/crates/tgw-platform/src/lib.rs
@@ -10,4 +10,4 @@
 
 pub use http::Http;
 pub use object::{Error, Object, Version};
-pub use store::{Expect, PROBE_NAME, Store, StoreFuture};
+pub use store::{PROBE_NAME, Precondition, Store, StoreFuture};
--- a/crates/tgw-platform/src/object.rs
+++ b/crates/tgw-platform/src/object.rs
@@ -8,7 +8,7 @@
 pub type Version = u64;
 
 /// Largest value of an object, in bytes.
-pub const LIMIT_BYTES: usize = 1 << 20;
+pub const MAX_VALUE_BYTES: usize = 1 << 20;
 
 /// An object of the store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
--- a/crates/tgw-platform/src/store.rs
+++ b/crates/tgw-platform/src/store.rs
@@ -8,11 +8,11 @@
 
 /// The precondition of a write.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
-pub enum Expect {
+pub enum Precondition {
     /// No object of this name exists.
     Absent,
     /// The object is at this version.
-    At(Version),
+    Version(Version),
 }
 
 /// A name that no object has; reading it probes the store.
@@ -28,7 +28,7 @@
         &'a self,
         kind: &'a str,
         name: &'a str,
-        expect: Expect,
+        precondition: Precondition,
         value: &'a Value,
     ) -> StoreFuture<'a, Version>;
 
--- a/crates/tgw-serve/src/config.rs
+++ b/crates/tgw-serve/src/config.rs
@@ -13,7 +13,7 @@
 use tgw_clock::{Clock, Millis};
 use tgw_order::{Action, Event, Ledger, WriteOutcome};
 use tgw_peer::{Command, Payload};
-use tgw_platform::{Error, Expect, Object, Store, Version, object::List};
+use tgw_platform::{Error, Object, Precondition, Store, Version, object::List};
 use tgw_ring::{Receiver, Sender};
 use tgw_table::{Document, adopt};
 use tgw_topology::{Catalog, Vm, catalog::ServiceUpdate};
@@ -251,9 +251,13 @@
     async fn call_store(self: Rc<Self>, action: Action) {
         let event = match action {
             Action::Put(object, version, ledger) => {
-                let expect = if version == 0 { Expect::Absent } else { Expect::At(version) };
+                let precondition = if version == 0 {
+                    Precondition::Absent
+                } else {
+                    Precondition::Version(version)
+                };
                 let Ok(value) = serde_json::to_value(&ledger) else { return };
-                let put = self.store.put(CLAIM_KIND, &object, expect, &value).await;
+                let put = self.store.put(CLAIM_KIND, &object, precondition, &value).await;
                 let outcome = match self.count_call(put) {
                     Ok(version) => WriteOutcome::Done(version),
                     Err(Error::Conflict { .. }) => WriteOutcome::Conflict,
--- a/crates/tgw-serve/src/serve.rs
+++ b/crates/tgw-serve/src/serve.rs
@@ -339,7 +339,7 @@
 }
 
 fn http_store(settings: &Settings) -> Arc<dyn Store> {
-    Arc::new(Http::open(settings.platform.addr, Millis::new(settings.platform.timeout_ms)))
+    Arc::new(Http::new(settings.platform.addr, Millis::new(settings.platform.timeout_ms)))
 }
 
 fn peer_options(
--- a/crates/tgw-standin/src/platform.rs
+++ b/crates/tgw-standin/src/platform.rs
@@ -15,7 +15,7 @@
     sync::{Arc, Mutex, MutexGuard},
     time::Duration,
 };
-use tgw_platform::object::{LIMIT_BYTES, List, Object, Version};
+use tgw_platform::object::{List, MAX_VALUE_BYTES, Object, Version};
 use tokio::{
     net::TcpListener,
     sync::Notify,
@@ -126,7 +126,7 @@
 
     async fn handle(self, request: Request<Incoming>) -> Reply {
         let (head, body) = request.into_parts();
-        let body = Limited::new(body, 2 * LIMIT_BYTES).collect().await.ok()?.to_bytes();
+        let body = Limited::new(body, 2 * MAX_VALUE_BYTES).collect().await.ok()?.to_bytes();
         let path = head.uri.path().to_owned();
         let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
         let params = Params::parse(head.uri.query().unwrap_or_default());
@@ -226,7 +226,7 @@
     }
 
     fn put(&self, kind: &str, name: &str, params: &Params, body: &[u8]) -> Reply {
-        if body.len() > LIMIT_BYTES {
+        if body.len() > MAX_VALUE_BYTES {
             return Some(http::json_response(413, "{}"));
         }
         let Ok(value) = serde_json::from_slice(body) else {
