--- a/crates/tgw-serve/src/upstreams.rs
+++ b/crates/tgw-serve/src/upstreams.rs
@@ -16,7 +16,7 @@
 };
 use tgw_ring::{Receiver, Sender};
 use tgw_topology::Upstream;
-use tgw_upstream::{Client, Ordered, Search};
+use tgw_upstream::{Client, OrderOutcome, Search};
 use tokio::{
     sync::watch,
     task::{LocalSet, spawn_local},
@@ -121,7 +121,7 @@
         if self.upstreams.borrow().contains_key(&upstream) {
             return;
         }
-        let client = Client::open(addr, u32::from(max_concurrency) + CONTROL_CONNECTIONS);
+        let client = Client::new(addr, u32::from(max_concurrency) + CONTROL_CONNECTIONS);
         let (stop_probe, stopped) = watch::channel(());
         let entry = Entry { client: client.clone(), incarnation: None, _stop_probe: stop_probe };
         self.upstreams.borrow_mut().insert(upstream, entry);
@@ -137,9 +137,9 @@
         mut stopped: watch::Receiver<()>,
     ) {
         loop {
-            client.warm(warm).await;
+            client.prewarm(warm).await;
             let probe = client.load(PROBE_TIMEOUT_MS).await;
-            if let Some(snapshots) = probe.held {
+            if let Some(snapshots) = probe.held_snapshots {
                 let _ = self.core.push(CoreMessage::SnapshotsReported(upstream, snapshots));
             }
             self.record_incarnation(upstream, probe.incarnation);
@@ -173,15 +173,19 @@
             Some(client) if leaf.is_order() => self.order(client, send_id, leaf).await,
             Some(client) => {
                 let search = Search {
-                    request: self.request_id(send_id),
+                    request_id: self.request_id(send_id),
                     snapshot: leaf.snapshot,
                     shard: leaf.key.shard,
-                    left: leaf.deadline - self.clock.now(),
+                    time_left: leaf.deadline - self.clock.now(),
                     body: leaf.body,
                 };
                 let probe = client.search(&search).await;
                 self.record_incarnation(upstream, probe.incarnation);
-                CoreMessage::SendEnded { send_id, result: probe.result, snapshots: probe.held }
+                CoreMessage::SendEnded {
+                    send_id,
+                    result: probe.result,
+                    snapshots: probe.held_snapshots,
+                }
             }
             None => {
                 CoreMessage::SendEnded { send_id, result: Err(Failure::Connect), snapshots: None }
@@ -203,15 +207,15 @@
         // after the deadline.
         let left = leaf.deadline - self.clock.now();
         let ordered = if left == Millis::ZERO {
-            Ordered::NotSent
+            OrderOutcome::NotSent
         } else {
             client.order(name, leaf.body.clone(), left).await
         };
         let result = match ordered {
-            Ordered::Ran(body) => Ok(Reply::Ran(body)),
-            Ordered::NotRun => Ok(Reply::Shed),
-            Ordered::NotSent => Err(Failure::Connect),
-            Ordered::Unknown => Err(Failure::Closed),
+            OrderOutcome::Ran(body) => Ok(Reply::Ran(body)),
+            OrderOutcome::NotRun => Ok(Reply::Shed),
+            OrderOutcome::NotSent => Err(Failure::Connect),
+            OrderOutcome::Unknown => Err(Failure::Closed),
         };
         CoreMessage::SendEnded { send_id, result, snapshots: None }
     }
@@ -226,10 +230,10 @@
     }
 
     fn publish_connections(&self) {
-        self.closing.borrow_mut().retain(|client| client.connections() > 0);
+        self.closing.borrow_mut().retain(|client| client.open_connections() > 0);
         let upstreams = self.upstreams.borrow();
-        let open: u32 = upstreams.values().map(|e| e.client.connections()).sum();
-        let opened: u64 = upstreams.values().map(|e| e.client.opened()).sum();
+        let open: u32 = upstreams.values().map(|e| e.client.open_connections()).sum();
+        let opened: u64 = upstreams.values().map(|e| e.client.connections_opened()).sum();
         self.gauges.connections.store(open.into(), Ordering::Relaxed);
         self.gauges.connections_opened.store(opened, Ordering::Relaxed);
     }
--- a/crates/tgw-standin/src/upstream.rs
+++ b/crates/tgw-standin/src/upstream.rs
@@ -224,7 +224,11 @@
 
     /// Adds the headers of every reply: the snapshots and the process's incarnation.
     fn add_state_headers(&self, response: &mut Response<Full<Bytes>>, behavior: &Behavior) {
-        insert_header(response, protocol::HELD, &protocol::write_held(&behavior.snapshots));
+        insert_header(
+            response,
+            protocol::HELD_SNAPSHOTS,
+            &protocol::write_snapshots(&behavior.snapshots),
+        );
         insert_header(response, protocol::INCARNATION, &self.shared.incarnation.to_string());
     }
 
@@ -239,7 +243,7 @@
     }
 
     fn cancel(&self, headers: &HeaderMap) -> Response<Full<Bytes>> {
-        let request = header(headers, protocol::REQUEST).and_then(|r| r.parse().ok());
+        let request = header(headers, protocol::REQUEST_ID).and_then(|r| r.parse().ok());
         let cancellation = request.and_then(|r: u64| lock(&self.shared.cancellations).remove(&r));
         if let Some(cancellation) = cancellation {
             cancellation.notify_one();
@@ -265,7 +269,7 @@
             return self.refusal(409, protocol::GONE, behavior);
         }
         let time_left = header(headers, protocol::DEADLINE).and_then(|d| d.parse().ok());
-        let request = header(headers, protocol::REQUEST).and_then(|r| r.parse().ok());
+        let request = header(headers, protocol::REQUEST_ID).and_then(|r| r.parse().ok());
         let time_left = Duration::from_millis(time_left.unwrap_or(60_000));
         let outcome = timeout(time_left, self.run(request.unwrap_or(0), behavior)).await;
         lock(&self.shared.cancellations).remove(&request.unwrap_or(0));
--- a/crates/tgw-upstream/src/client.rs
+++ b/crates/tgw-upstream/src/client.rs
@@ -24,13 +24,13 @@
 #[derive(Clone, Debug)]
 pub struct Search {
     /// Identifies the request, so that it can be cancelled.
-    pub request: u64,
+    pub request_id: u64,
     /// The snapshot to search.
     pub snapshot: Snapshot,
     /// The shard to search.
     pub shard: Shard,
     /// Time until the deadline.
-    pub left: Millis,
+    pub time_left: Millis,
     /// The query, sent as the request's body.
     pub body: Bytes,
 }
@@ -41,14 +41,14 @@
     /// The decoded reply, or why there is none.
     pub result: T,
     /// The snapshots that the upstream holds; `None` if the reply does not list them.
-    pub held: Option<HeldSnapshots>,
+    pub held_snapshots: Option<HeldSnapshots>,
     /// The incarnation of the upstream's process; `None` if the reply does not state it.
     pub incarnation: Option<u64>,
 }
 
 /// The outcome of a non-idempotent request.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Ordered {
+pub enum OrderOutcome {
     /// The upstream executed the request; its reply body.
     Ran(Bytes),
     /// The upstream states that it has not executed the request and will not.
@@ -84,7 +84,7 @@
 
 impl Client {
     /// Creates a client of the upstream at `addr` with at most `limit` connections. Connects on first use.
-    pub fn open(addr: SocketAddr, limit: u32) -> Self {
+    pub fn new(addr: SocketAddr, limit: u32) -> Self {
         Self(Rc::new(Pool {
             addr,
             max_connections: limit,
@@ -95,12 +95,12 @@
     }
 
     /// Number of open connections.
-    pub fn connections(&self) -> u32 {
+    pub fn open_connections(&self) -> u32 {
         self.0.open.get()
     }
 
     /// Number of connections established since the client was created.
-    pub fn opened(&self) -> u64 {
+    pub fn connections_opened(&self) -> u64 {
         self.0.opened.get()
     }
 
@@ -110,8 +110,8 @@
     }
 
     /// Opens connections until `count` are open, so that no search waits for a handshake.
-    pub async fn warm(&self, count: u32) {
-        while self.connections() < count.min(self.0.max_connections) {
+    pub async fn prewarm(&self, count: u32) {
+        while self.open_connections() < count.min(self.0.max_connections) {
             match self.connect().await {
                 Ok(connection) => self.release(connection),
                 Err(_) => return,
@@ -193,28 +193,34 @@
     /// Sends a search of one shard.
     pub async fn search(&self, search: &Search) -> Response<Result<Reply, Failure>> {
         let request = self.request(Method::POST, protocol::SEARCH, search.body.clone(), |r| {
-            r.header(protocol::REQUEST, search.request)
+            r.header(protocol::REQUEST_ID, search.request_id)
                 .header(protocol::SNAPSHOT, protocol::write_snapshot(search.snapshot))
                 .header(protocol::SHARD, search.shard.0)
-                .header(protocol::DEADLINE, search.left.whole())
+                .header(protocol::DEADLINE, search.time_left.whole())
         });
         let Ok(request) = request else {
-            return Response { result: Err(Failure::Connect), held: None, incarnation: None };
+            return Response {
+                result: Err(Failure::Connect),
+                held_snapshots: None,
+                incarnation: None,
+            };
         };
-        match self.exchange(request, search.left + DEADLINE_GRACE_MS).await {
+        match self.exchange(request, search.time_left + DEADLINE_GRACE_MS).await {
             Ok((status, headers, body)) => Response {
-                held: reply::held_snapshots(&headers),
+                held_snapshots: reply::held_snapshots(&headers),
                 incarnation: reply::incarnation(&headers),
                 result: reply::decode(status, &headers, body),
             },
-            Err((_, failure)) => Response { result: Err(failure), held: None, incarnation: None },
+            Err((_, failure)) => {
+                Response { result: Err(failure), held_snapshots: None, incarnation: None }
+            }
         }
     }
 
     /// Asks the upstream to cancel a search.
     pub async fn cancel(&self, request: u64) {
         let built = self.request(Method::POST, protocol::CANCEL, Bytes::new(), |r| {
-            r.header(protocol::REQUEST, request)
+            r.header(protocol::REQUEST_ID, request)
         });
         if let Ok(request) = built {
             let _ = self.exchange(request, CONNECT_TIMEOUT_MS).await;
@@ -222,19 +228,21 @@
     }
 
     /// Sends a non-idempotent request without retries.
-    pub async fn order(&self, key: &str, body: Bytes, left: Millis) -> Ordered {
+    pub async fn order(&self, key: &str, body: Bytes, left: Millis) -> OrderOutcome {
         let built = self.request(Method::POST, protocol::ORDER, body, |r| {
             r.header(protocol::ORDER_KEY, key).header(protocol::DEADLINE, left.whole())
         });
-        let Ok(request) = built else { return Ordered::NotSent };
+        let Ok(request) = built else { return OrderOutcome::NotSent };
         match self.exchange(request, left).await {
-            Ok((StatusCode::OK, _, body)) => Ordered::Ran(body),
+            Ok((StatusCode::OK, _, body)) => OrderOutcome::Ran(body),
             Ok((_, headers, _)) => match reply::header(&headers, protocol::REASON) {
-                Some(protocol::SHED | protocol::DRAINING | protocol::EXPIRED) => Ordered::NotRun,
-                _ => Ordered::Unknown,
+                Some(protocol::SHED | protocol::DRAINING | protocol::EXPIRED) => {
+                    OrderOutcome::NotRun
+                }
+                _ => OrderOutcome::Unknown,
             },
-            Err((false, _)) => Ordered::NotSent,
-            Err((true, _)) => Ordered::Unknown,
+            Err((false, _)) => OrderOutcome::NotSent,
+            Err((true, _)) => OrderOutcome::Unknown,
         }
     }
 
@@ -242,15 +250,21 @@
     pub async fn load(&self, limit: Millis) -> Response<Result<bool, Failure>> {
         let built = self.request(Method::GET, protocol::LOAD, Bytes::new(), |r| r);
         let Ok(request) = built else {
-            return Response { result: Err(Failure::Connect), held: None, incarnation: None };
+            return Response {
+                result: Err(Failure::Connect),
+                held_snapshots: None,
+                incarnation: None,
+            };
         };
         match self.exchange(request, limit).await {
             Ok((_, headers, _)) => Response {
-                held: reply::held_snapshots(&headers),
+                held_snapshots: reply::held_snapshots(&headers),
                 incarnation: reply::incarnation(&headers),
                 result: Ok(reply::header(&headers, protocol::REASON) == Some(protocol::DRAINING)),
             },
-            Err((_, failure)) => Response { result: Err(failure), held: None, incarnation: None },
+            Err((_, failure)) => {
+                Response { result: Err(failure), held_snapshots: None, incarnation: None }
+            }
         }
     }
 
--- a/crates/tgw-upstream/src/lib.rs
+++ b/crates/tgw-upstream/src/lib.rs
@@ -8,4 +8,4 @@
 /// Decoding of replies.
 mod reply;
 
-pub use client::{Client, Ordered, Response, Search};
+pub use client::{Client, OrderOutcome, Response, Search};
--- a/crates/tgw-upstream/src/protocol.rs
+++ b/crates/tgw-upstream/src/protocol.rs
@@ -16,7 +16,7 @@
 pub const LOAD: &str = "/load";
 
 /// Identifies one request to an upstream, so that it can be cancelled.
-pub const REQUEST: HeaderName = HeaderName::from_static("x-request");
+pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-request");
 /// Milliseconds until the deadline, after which the result is not used.
 pub const DEADLINE: HeaderName = HeaderName::from_static("x-deadline-ms");
 /// The snapshot that is requested or was searched, as `version.layout`.
@@ -24,7 +24,7 @@
 /// The shard that is requested or was searched.
 pub const SHARD: HeaderName = HeaderName::from_static("x-shard");
 /// The snapshots that the upstream holds, separated by commas.
-pub const HELD: HeaderName = HeaderName::from_static("x-held");
+pub const HELD_SNAPSHOTS: HeaderName = HeaderName::from_static("x-held");
 /// Why the upstream rejected the request: one of the reasons below.
 pub const REASON: HeaderName = HeaderName::from_static("x-reason");
 /// The incarnation of the upstream's process.
@@ -55,8 +55,8 @@
 }
 
 /// Formats a list of snapshots, separated by commas.
-pub fn write_held(held: &[Snapshot]) -> String {
-    held.iter().copied().map(write_snapshot).collect::<Vec<_>>().join(",")
+pub fn write_snapshots(snapshots: &[Snapshot]) -> String {
+    snapshots.iter().copied().map(write_snapshot).collect::<Vec<_>>().join(",")
 }
 
 /// Parses a list of snapshots; `None` if any of them is malformed.
--- a/crates/tgw-upstream/src/reply.rs
+++ b/crates/tgw-upstream/src/reply.rs
@@ -35,7 +35,7 @@
 
 /// The snapshots that the upstream holds according to the reply.
 pub(crate) fn held_snapshots(headers: &HeaderMap) -> Option<HeldSnapshots> {
-    header(headers, protocol::HELD).and_then(protocol::read_snapshots)
+    header(headers, protocol::HELD_SNAPSHOTS).and_then(protocol::read_snapshots)
 }
 
 /// The incarnation of the upstream's process according to the reply.
--- a/crates/tgw-upstream/tests/protocol.rs
+++ b/crates/tgw-upstream/tests/protocol.rs
@@ -7,7 +7,7 @@
     test_runner::{Config, RngSeed},
 };
 use tgw_topology::{Layout, Snapshot};
-use tgw_upstream::protocol::{read_snapshot, read_snapshots, write_held, write_snapshot};
+use tgw_upstream::protocol::{read_snapshot, read_snapshots, write_snapshot, write_snapshots};
 
 fn config() -> ProptestConfig {
     Config { rng_seed: RngSeed::Fixed(1), failure_persistence: None, ..Config::default() }
@@ -39,7 +39,7 @@
         let first = snapshot(version, layout);
         prop_assert_eq!(read_snapshot(&write_snapshot(first)), Some(first));
         let list = vec![first; count];
-        let read = read_snapshots(&write_held(&list)).expect("a list");
+        let read = read_snapshots(&write_snapshots(&list)).expect("a list");
         prop_assert_eq!(read.to_vec(), list);
     }
 }
