--- a/crates/tgw-soak/src/callers.rs
+++ b/crates/tgw-soak/src/callers.rs
@@ -119,7 +119,7 @@
                 (Method::GET, Bytes::new())
             }
         };
-        let names = tgw_site_standin::leaf::names();
+        let names = tgw_site_standin::leaf::header_names();
         let request = Request::builder()
             .method(method)
             .uri(kind.path())
--- a/crates/tgw-soak/src/check.rs
+++ b/crates/tgw-soak/src/check.rs
@@ -11,7 +11,7 @@
     fmt,
     time::Duration,
 };
-use tgw_site_standin::leaf::{Run, names, records, seal};
+use tgw_site_standin::leaf::{Run, header_names, records, signature};
 use tokio::time::Instant;
 
 const RECORD_BYTES: usize = 16;
@@ -103,7 +103,7 @@
 fn runs_by_request(environment: &Environment) -> BTreeMap<&str, Vec<&str>> {
     let mut runs: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
     for run in environment.runs.values().flatten() {
-        runs.entry(&run.request).or_default().push(&run.what);
+        runs.entry(&run.request_id).or_default().push(&run.content);
     }
     runs
 }
@@ -150,9 +150,9 @@
 }
 
 fn check_single(request_id: &str, answer: &Answer) -> Option<String> {
-    let signature = answer.headers.get(names().signature).and_then(|v| v.to_str().ok());
-    if signature != Some(&seal(SINGLE_SERVICE, request_id)) {
-        return Some(format!("signature {signature:?}"));
+    let actual = answer.headers.get(header_names().signature).and_then(|v| v.to_str().ok());
+    if actual != Some(&signature(SINGLE_SERVICE, request_id)) {
+        return Some(format!("signature {actual:?}"));
     }
     (answer.body[..] != records(SINGLE_SERVICE, request_id)[..]).then(|| "another body".into())
 }
@@ -160,11 +160,12 @@
 fn check_merged(request_id: &str, answer: &Answer) -> Option<String> {
     let header = |name| answer.headers.get(name).and_then(|v| v.to_str().ok());
     let signatures: Vec<&str> =
-        header(names().part_signatures)?.split(',').map(str::trim).collect();
-    let missing: usize = header(names().missing_parts).and_then(|m| m.parse().ok()).unwrap_or(0);
+        header(header_names().part_signatures)?.split(',').map(str::trim).collect();
+    let missing: usize =
+        header(header_names().missing_parts).and_then(|m| m.parse().ok()).unwrap_or(0);
     let all = shards();
     let parts: BTreeSet<&String> =
-        all.iter().filter(|s| signatures.contains(&seal(s, request_id).as_str())).collect();
+        all.iter().filter(|s| signatures.contains(&signature(s, request_id).as_str())).collect();
     if parts.len() != signatures.len() {
         return Some(format!("signatures {signatures:?}"));
     }
@@ -257,9 +258,9 @@
         let during = |(down, up): &&(Instant, Instant)| *down < left + DRAIN_TIMEOUT && *up > left;
         let from =
             environment.outages.iter().filter(during).map(|(_, up)| *up).fold(left, Instant::max);
-        if let Some(late) = runs.iter().find(|run| run.at > from + DRAIN_TIMEOUT) {
-            let after = late.at - left;
-            broken.push(format!("{}: ran {after:?} after its upstream left", late.request));
+        if let Some(late) = runs.iter().find(|run| run.started_at > from + DRAIN_TIMEOUT) {
+            let after = late.started_at - left;
+            broken.push(format!("{}: ran {after:?} after its upstream left", late.request_id));
         }
     }
 }
@@ -278,8 +279,8 @@
 /// Checks that requests restricted to one region reached no upstream of another region.
 fn check_home_region(environment: &Environment, broken: &mut Vec<String>) {
     let outside = runs_in_domains(environment, |domain| domain != HOME.0);
-    for run in outside.filter(|run| run.what.starts_with("GET /home/")) {
-        broken.push(format!("{}: ran outside of its home region", run.request));
+    for run in outside.filter(|run| run.content.starts_with("GET /home/")) {
+        broken.push(format!("{}: ran outside of its home region", run.request_id));
     }
 }
 
@@ -287,9 +288,11 @@
 fn check_evacuated(environment: &Environment, broken: &mut Vec<String>) {
     for (domain, from, until) in &environment.evacuations {
         let late = runs_in_domains(environment, |at| at == *domain);
-        for run in late.filter(|run| run.at > *from + EVACUATION_TIMEOUT && run.at < *until) {
-            let after = run.at - *from;
-            broken.push(format!("{}: ran {after:?} after {domain} was evacuated", run.request));
+        for run in late
+            .filter(|run| run.started_at > *from + EVACUATION_TIMEOUT && run.started_at < *until)
+        {
+            let after = run.started_at - *from;
+            broken.push(format!("{}: ran {after:?} after {domain} was evacuated", run.request_id));
         }
     }
 }
@@ -312,7 +315,7 @@
         }
         let cold_runs: Vec<Instant> = runs
             .iter()
-            .map(|run| run.at)
+            .map(|run| run.started_at)
             .filter(|at| *at >= from && *at < from + WARMUP_TIME)
             .collect();
         for (number, at) in cold_runs.iter().enumerate() {
--- a/crates/tgw-soak/src/environment.rs
+++ b/crates/tgw-soak/src/environment.rs
@@ -63,7 +63,7 @@
         let (service, addr) = (self.leaf.service(), self.proxy.addr());
         let mut entry = files::entry(service, addr, self.domain, self.left_at.is_some());
         entry["born"] = self.generation.into();
-        files::cold(entry, self.cold_until.saturating_duration_since(Instant::now()))
+        files::with_warmup_left(entry, self.cold_until.saturating_duration_since(Instant::now()))
     }
 
     /// Writes the entry, unless it was removed without notice.
@@ -145,7 +145,7 @@
             self.upstreams.iter_mut().filter(|u| !u.reported_warm && u.cold_until <= now)
         {
             upstream.reported_warm = true;
-            if !upstream.leaf.ended() {
+            if !upstream.leaf.has_exited() {
                 upstream.write_entry(&store);
             }
         }
@@ -194,7 +194,7 @@
     /// Ends an upstream's process and starts another under the same id. The last heartbeat of the old
     /// process takes effect after the first one of the new process, which then writes its entry again.
     pub(crate) async fn restart_upstream(&mut self, index: usize) -> anyhow::Result<()> {
-        let is_live = |u: &&Upstream| u.left_at.is_none() && !u.leaf.ended();
+        let is_live = |u: &&Upstream| u.left_at.is_none() && !u.leaf.has_exited();
         let Some(upstream) = self.upstreams.get(index).filter(is_live) else { return Ok(()) };
         // Its connections end with the process, and no further request starts to run.
         upstream.proxy.reset_connections();
@@ -220,7 +220,7 @@
         let upstream = self.upstreams.get(index).filter(|u| !u.entry_removed)?;
         let id = upstream.leaf.id().to_owned();
         let foreign = json!({ "meta": { "name": id, "revision": "none" }, "spec": ["service"] });
-        self.store.put_foreign("servers", &id, foreign.to_string().as_bytes());
+        self.store.put_raw("servers", &id, foreign.to_string().as_bytes());
         Some(id)
     }
 
@@ -236,10 +236,10 @@
         self.config_version += 3;
         let mut services = shards();
         let mut routes = vec![
-            files::shards("all", &services, RESULT_LIMIT, MIN_SHARD_SHARE),
+            files::fanout_route("all", &services, RESULT_LIMIT, MIN_SHARD_SHARE),
             files::route("safe", SINGLE_SERVICE, true),
             files::route("once", SINGLE_SERVICE, false),
-            files::at_home(files::route("home", SINGLE_SERVICE, true), &[HOME.1]),
+            files::with_serving_regions(files::route("home", SINGLE_SERVICE, true), &[HOME.1]),
         ];
         let extra = format!("extra-{}", self.config_version);
         routes.push(files::route(&extra, SINGLE_SERVICE, true));
@@ -247,7 +247,7 @@
         let mut document = files::config(self.config_version, &routes, &services);
         if let Some(services) = document["services"].as_array_mut() {
             for service in services {
-                *service = files::limited(
+                *service = files::with_warmup_limit(
                     service.take(),
                     WARMUP_TIME.as_secs_f64(),
                     WARMUP_REQUESTS_PER_S,
@@ -264,7 +264,7 @@
         index: usize,
         announced: bool,
     ) -> anyhow::Result<()> {
-        let is_live = |u: &&mut Upstream| u.left_at.is_none() && !u.leaf.ended();
+        let is_live = |u: &&mut Upstream| u.left_at.is_none() && !u.leaf.has_exited();
         let Some(upstream) = self.upstreams.get_mut(index).filter(is_live) else { return Ok(()) };
         let (service, domain) = (upstream.leaf.service().to_owned(), upstream.domain);
         upstream.left_at = Some(Instant::now());
@@ -297,7 +297,7 @@
         let mut removed = Vec::new();
         let (store, ends) = (self.store.clone(), &mut self.deadly_ends);
         self.upstreams.retain_mut(|upstream| {
-            if upstream.leaf.ended() && upstream.ended_at.is_none() {
+            if upstream.leaf.has_exited() && upstream.ended_at.is_none() {
                 upstream.ended_at = Some(Instant::now());
                 ends.push(Instant::now());
             }
@@ -332,7 +332,7 @@
 async fn start_upstream(service: &str, id: &str) -> anyhow::Result<(Leaf, Proxy)> {
     let leaf = Leaf::bind(service, id, SERVICE_TIME).await?;
     let proxy = Proxy::bind(leaf.addr()).await?;
-    leaf.fail_at(DEADLY_PATH, Fault::Ends);
-    leaf.ends_with(proxy.abort_handle());
+    leaf.inject_fault(DEADLY_PATH, Fault::Crashes);
+    leaf.abort_on_exit(proxy.abort_handle());
     Ok((leaf, proxy))
 }
--- a/crates/tgw-soak/src/fleet.rs
+++ b/crates/tgw-soak/src/fleet.rs
@@ -43,7 +43,7 @@
         store_addrs: &[SocketAddr],
     ) -> anyhow::Result<Self> {
         fs::create_dir_all(folder).with_context(|| folder.display().to_string())?;
-        let ports = Ports { callers: 7801, ready: 7802, peers: 7803 };
+        let ports = Ports { callers: 7801, readiness: 7802, peers: 7803 };
         let ip =
             |index: usize| Ipv4Addr::new(127, 77, subnet, u8::try_from(index + 1).unwrap_or(1));
         let seeds: Vec<Ipv4Addr> = (0..store_addrs.len().min(3)).map(ip).collect();
