--- a/crates/tgw-bench/src/figures.rs
+++ b/crates/tgw-bench/src/figures.rs
@@ -7,7 +7,7 @@
 
 /// Highest latency that the histograms distinguish, in µs.
 const MAX_LATENCY_US: u64 = 120_000_000;
-/// Window length of the time series.
+/// Length of the windows of the time series, each of which covers the queries that arrived in it.
 const WINDOW_MS: Millis = Millis::new(250);
 
 /// Figures of one policy in one run.
--- a/crates/tgw-bench/src/leaving/platform.rs
+++ b/crates/tgw-bench/src/leaving/platform.rs
@@ -15,8 +15,8 @@
 /// Time after which keep-alive probes find an unresponsive connection dead, as in the store's
 /// adapter.
 const KEEPALIVE_TIMEOUT_MS: Millis = Millis::new(3_000);
-/// Upstreams whose entries are rewritten repeatedly, and the range of the interval between two
-/// writes.
+/// Upstreams whose entries are rewritten repeatedly, and the range of the interval between two writes.
+/// They are not among those that leave: through their rewrites VMs receive other changes too.
 const REWRITTEN_ENTRIES: usize = 6;
 const REWRITE_INTERVAL_MS: (u64, u64) = (150, 650);
 /// Time within which lapsed entries are written again after the store's return.
--- a/crates/tgw-bench/src/leaving/simulation.rs
+++ b/crates/tgw-bench/src/leaving/simulation.rs
@@ -203,6 +203,8 @@
         self.events.insert(self.next, event);
     }
 
+    /// Handles an event. One for a dead VM is dropped, and one for a paused VM is postponed to the end of
+    /// the pause.
     fn handle(&mut self, event: Scheduled) {
         let to = match &event {
             Scheduled::Tick(vm) | Scheduled::Step(vm, _) => Some(*vm),
--- a/crates/tgw-bench/src/overload/termination.rs
+++ b/crates/tgw-bench/src/overload/termination.rs
@@ -86,7 +86,8 @@
         }
     }
 
-    /// A VM finds that an upstream ended during a request.
+    /// A VM finds that an upstream ended during a request: it marks the upstream as unreachable, records
+    /// the end for the quarantine, and sends the resulting updates to peers.
     pub(super) fn detect_end(
         &mut self,
         now: Millis,
--- a/crates/tgw-bench/src/sim.rs
+++ b/crates/tgw-bench/src/sim.rs
@@ -240,6 +240,7 @@
         }
     }
 
+    /// Schedules an event; events of the same time are handled in the order of these calls.
     pub(crate) fn schedule(&mut self, time: Millis, event: Event) {
         self.seq += 1;
         self.heap.push(Reverse((time, self.seq)));
--- a/crates/tgw-node/src/node.rs
+++ b/crates/tgw-node/src/node.rs
@@ -43,6 +43,7 @@
         place.map(|place| self.assignment.owners(group, place)).unwrap_or_default()
     }
 
+    /// The region and failure domain of a VM; `None` if the directory does not list it as a member.
     fn place(&self, vm: Vm) -> Option<Place> {
         self.assignment.directory().members.get(&vm).map(|m| m.place)
     }
--- a/crates/tgw-node/src/orders.rs
+++ b/crates/tgw-node/src/orders.rs
@@ -54,7 +54,7 @@
     claims_owner: Option<Vm>,
 }
 
-/// An order that was sent to the owner of a group.
+/// An order that was sent to the owner of a group and whose outcome is awaited.
 struct Sent {
     key: Key,
     to: Vm,
@@ -81,6 +81,8 @@
         Self {
             me,
             incarnation,
+            // A claim names its holder by one number, which must be unique to one incarnation of one VM, so
+            // it is computed from both. Nothing here ensures that the numbers of two VMs differ.
             worker: Worker::new(me.0.wrapping_mul(31).wrapping_add(incarnation)),
             accepted: BTreeMap::new(),
             waiters: BTreeMap::new(),
--- a/crates/tgw-operate/src/leaving.rs
+++ b/crates/tgw-operate/src/leaving.rs
@@ -9,11 +9,13 @@
     path::Path,
 };
 
-/// Message of a VM that retains an upstream whose entry is missing from the store.
+/// Message of a VM that retains an upstream: "doubted" is one kept although its entry in the store is
+/// missing.
 const RETAINED_MESSAGE: &str = "upstream doubted";
 /// Message of a VM that stops retaining such an upstream.
 const RETENTION_ENDED_MESSAGE: &str = "upstream doubted no more";
-/// Message of a send to a retained upstream.
+/// Message of a send to a retained upstream, which may have left: such sends show for how long a VM still
+/// used it.
 const RETAINED_SEND_MESSAGE: &str = "send to a doubted upstream";
 
 /// When one VM learned that the upstream leaves, and what it sent there afterwards.
--- a/crates/tgw-operate/src/log.rs
+++ b/crates/tgw-operate/src/log.rs
@@ -8,7 +8,8 @@
     path::Path,
 };
 
-/// Fields that a rendered line does not list as `name=value`.
+/// Fields that a rendered line does not list as `name=value`: the timestamp and the message begin the
+/// line without their names, and the others are left out.
 const OMITTED_FIELDS: [&str; 5] = ["timestamp", "level", "message", "target", "request"];
 
 /// One parsed line of a log.
--- a/crates/tgw-operate/src/losses.rs
+++ b/crates/tgw-operate/src/losses.rs
@@ -185,6 +185,7 @@
     rows
 }
 
+/// Formats a second of the day as `HH:MM:SS`.
 fn format_clock(second: u64) -> String {
     format!("{:02}:{:02}:{:02}", second / 3600, second / 60 % 60, second % 60)
 }
--- a/crates/tgw-operate/src/table.rs
+++ b/crates/tgw-operate/src/table.rs
@@ -181,6 +181,7 @@
     Refusal::Conflict { base, current: current.edition, rows }
 }
 
+/// Reads the table's object and its version; if there is none, the version is 0 and the object empty.
 async fn read_stored(store: &dyn Store) -> Result<(Version, Stored), Refusal> {
     let object = store
         .get(OBJECT_KIND, OBJECT_NAME)
--- a/crates/tgw-operate/src/timeline.rs
+++ b/crates/tgw-operate/src/timeline.rs
@@ -30,7 +30,8 @@
 const LINES_DROPPED_MESSAGE: &str = "log lines left out in the last interval";
 /// Message of a VM under one or more of whose sends an upstream process ended.
 const UPSTREAM_ENDED_MESSAGE: &str = "upstream ended under a send";
-/// Message of a send to a retained upstream: one whose entry is missing from the store.
+/// Message of a send to a retained upstream: "doubted" is one kept although its entry in the store is
+/// missing. It may have left, which can explain how the request ended.
 const RETAINED_SEND_MESSAGE: &str = "send to a doubted upstream";
 /// Connect timeout of callers in s. The time that a caller reports for a request may lie this long after it began
 /// to connect.
--- a/crates/tgw-order/src/key.rs
+++ b/crates/tgw-order/src/key.rs
@@ -9,7 +9,8 @@
 use tgw_topology::Service;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_128};
 
-/// How long claims are kept. An older key is rejected as not run.
+/// How long claims are kept. A request with an older key is rejected and not run; whether an earlier
+/// request with that key ran is no longer known.
 pub const CLAIM_RETENTION_S: u64 = 24 * 3600;
 /// How far a caller's clock may be ahead.
 pub const MAX_AHEAD_S: u64 = 300;
@@ -37,7 +38,8 @@
     /// The key does not have the required form.
     #[display("a key is SECONDS-TEXT: Unix seconds, a dash, up to 128 printable ASCII characters")]
     Malformed,
-    /// The key's claims are no longer kept, so whether its order ran is unknown.
+    /// The key's claims are no longer kept: this request is not run, and whether an earlier request with
+    /// the key ran is no longer known.
     #[display("the key is older than the {CLAIM_RETENTION_S} seconds that keys are kept")]
     Expired,
     /// The key's time is too far in the future.
--- a/crates/tgw-order/src/ledger.rs
+++ b/crates/tgw-order/src/ledger.rs
@@ -62,7 +62,8 @@
 }
 
 impl Ledger {
-    /// Approximate size as JSON.
+    /// Approximate size as JSON. An estimate is enough, as it is only compared with `MAX_OBJECT_BYTES` to
+    /// tell whether the object has room for more claims.
     pub fn approx_bytes(&self) -> usize {
         /// Size of a claim without its name and result.
         const CLAIM_OVERHEAD_BYTES: usize = 80;
--- a/crates/tgw-order/src/object.rs
+++ b/crates/tgw-order/src/object.rs
@@ -38,6 +38,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Call {
     None,
+    /// A read of the object is in flight.
     Reading,
     /// The claims as they are once the write has taken effect.
     Writing(Ledger),
@@ -49,6 +50,7 @@
     /// Version and claims as last read or written; `None` if the object must be read.
     pub(crate) known: Option<(Version, Ledger)>,
     pub(crate) call: Call,
+    /// Earliest time of the next call to the store for this object.
     pub(crate) next_call_at: Millis,
     pub(crate) orders: BTreeMap<String, Order>,
     /// Outcomes not yet recorded in the store.
@@ -57,7 +59,10 @@
     pub(crate) never_send: BTreeSet<String>,
     /// When the oldest unrecorded outcome was added.
     pub(crate) unrecorded_since: Option<Millis>,
+    /// Earliest time at which the object is read again for the outcome of another worker's claim.
     pub(crate) poll_at: Millis,
+    /// When a request for one of the object's keys was last handled; idle state is dropped some time
+    /// after it.
     pub(crate) last_used: Millis,
 }
 
--- a/crates/tgw-platform/src/http.rs
+++ b/crates/tgw-platform/src/http.rs
@@ -68,10 +68,12 @@
     }
 }
 
+/// The error of a call that the platform refused or that did not reach it: nothing was written.
 fn unavailable(error: &dyn std::fmt::Display) -> Error {
     Error::Unavailable { reason: error.to_string() }
 }
 
+/// The error of a call that may have been sent and has no valid reply: a write may have taken effect.
 fn unknown(error: &dyn std::fmt::Display) -> Error {
     Error::Unknown { reason: error.to_string() }
 }
--- a/crates/tgw-replay/src/trace.rs
+++ b/crates/tgw-replay/src/trace.rs
@@ -7,7 +7,7 @@
 
 /// Version of the trace format.
 const FORMAT_VERSION: u32 = 1;
-/// Most differences that a replay reports; further ones are not recorded.
+/// Largest number of differences that a replay reports; further ones are not recorded.
 const MAX_DIFFERENCES: usize = 20;
 
 /// The first line of a trace.
--- a/crates/tgw-serve/src/callers.rs
+++ b/crates/tgw-serve/src/callers.rs
@@ -155,6 +155,8 @@
 /// The parsed input of a search or an order.
 struct Input {
     timeout: Option<Millis>,
+    /// The caller's own name for a query, from the header `x-query-id`; the answer returns it. Not used
+    /// for orders.
     label: Option<String>,
     body: Bytes,
 }
--- a/crates/tgw-serve/src/metrics.rs
+++ b/crates/tgw-serve/src/metrics.rs
@@ -91,7 +91,7 @@
 }
 
 impl Gauges {
-    /// Whether the load balancer may send new queries to this VM.
+    /// Whether the readiness check tells the load balancer that this VM takes new queries.
     pub(crate) fn accepting(&self) -> bool {
         self.ready.load(Ordering::Relaxed) && !self.leaving.load(Ordering::Relaxed)
     }
--- a/crates/tgw-serve/src/serve.rs
+++ b/crates/tgw-serve/src/serve.rs
@@ -110,7 +110,7 @@
         self.peers.addr()
     }
 
-    /// Whether new queries are accepted.
+    /// Whether the readiness check tells the load balancer that this VM takes new queries.
     pub fn ready(&self) -> bool {
         self.gauges.accepting()
     }
--- a/crates/tgw-serve/src/upstreams.rs
+++ b/crates/tgw-serve/src/upstreams.rs
@@ -48,7 +48,8 @@
     closing: RefCell<Vec<Client>>,
 }
 
-/// Runs the worker on the current thread until `stop` changes.
+/// Runs the worker, which carries out the core's commands on upstreams, such as sending and cancelling
+/// requests, on the current thread until `stop` changes.
 pub(crate) fn run(
     core: Sender<CoreMessage>,
     commands: Receiver<Command>,
--- a/crates/tgw-soak/src/environment.rs
+++ b/crates/tgw-soak/src/environment.rs
@@ -97,7 +97,7 @@
     has_traffic: bool,
 }
 
-/// Names of the services of the query route.
+/// Names of the services of the query route: here, each shard is a service.
 pub(crate) fn shards() -> Vec<String> {
     (0..SHARD_COUNT).map(|index| format!("shard-{index}")).collect()
 }
--- a/crates/tgw-soak/src/proxy.rs
+++ b/crates/tgw-soak/src/proxy.rs
@@ -85,6 +85,7 @@
     }
 }
 
+/// Forwards one connection in both directions until both have ended or a reset closes it.
 async fn forward(state: Rc<State>, client: TcpStream, to: SocketAddr) {
     let mut resets = state.resets.subscribe();
     let Ok(server) = TcpStream::connect(to).await else { return };
--- a/crates/tgw-soak/src/run.rs
+++ b/crates/tgw-soak/src/run.rs
@@ -55,12 +55,19 @@
     deadly_count: u32,
 }
 
+/// How a fault that lasts for a while is undone.
 enum Undo {
+    /// Resumes the stopped process of this VM.
     Resume(usize),
+    /// Restores this VM's link to the store and resets its connections.
     StoreLink(usize),
+    /// Ends the store's outage.
     StoreUp,
+    /// Restores the link to the upstream with this id.
     UpstreamLink(String),
+    /// Writes the overwritten entry of the upstream with this id again.
     Entry(String),
+    /// Ends the evacuation of this failure domain.
     Evacuation(&'static str),
 }
 
@@ -72,6 +79,8 @@
         store_proxies.push(Proxy::bind(environment.addr()).await?);
     }
     let addresses: Vec<SocketAddr> = store_proxies.iter().map(Proxy::addr).collect();
+    // The third byte of the VMs' addresses. It depends on the process id, so that two runs at the same time
+    // seldom share addresses.
     let subnet = u8::try_from(std::process::id() % 200)?;
     let fleet = Fleet::start(&options.program, &options.logs, subnet, &addresses)?;
     let fleet = Rc::new(RefCell::new(fleet));
