--- a/crates/tgw-dispatch/src/group.rs
+++ b/crates/tgw-dispatch/src/group.rs
@@ -10,7 +10,8 @@
 use tgw_tail::{Budget, Hedge};
 use tgw_topology::{Group as GroupId, Snapshot, Upstream, catalog::UpstreamEntry};
 
-/// Queued requests examined in one pass; the rest wait for the next pass.
+/// Queued requests examined in one pass over the queue, in order of deadline; the rest wait for the
+/// next pass. This bounds the work of sending that one event can cause.
 const MAX_SCANNED_REQUESTS: usize = 64;
 /// Most retries that the budget may accumulate.
 const RETRY_BURST_REQUESTS: f64 = 20.0;
@@ -196,6 +197,8 @@
         self.fail_if_unservable(now, task_id, out);
     }
 
+    /// Drops a request whose outcome the entry VM no longer wants, without an answer. Its sends in
+    /// flight are cancelled, except those of an order; each takes a slot until it has ended.
     pub(crate) fn cancel(&mut self, key: Key, out: &mut Vec<Action>) {
         if let Some(task_id) = self.keys.get(&key).copied() {
             self.remove(task_id, out);
--- a/crates/tgw-forward/src/catalog.rs
+++ b/crates/tgw-forward/src/catalog.rs
@@ -61,7 +61,8 @@
 /// What happened to an upstream whose entry is missing.
 #[derive(Copy, Clone, Debug, Display, PartialEq, Eq)]
 pub enum Transition {
-    /// It is kept for a while: the entry may have lapsed during an outage of the store.
+    /// It is kept for a while: the entry may have lapsed during an outage of the store. Logs call
+    /// such an upstream "doubted".
     #[display("doubted")]
     Retained,
     /// Its entry was written again.
@@ -262,7 +263,8 @@
     }
 }
 
-/// Whether an upstream had announced that it is draining.
+/// Whether an upstream had announced that it is draining. If the entry of such an upstream is
+/// missing, the upstream is taken to have left and is not retained.
 fn is_draining(id: &str, fleet: &Fleet) -> bool {
     fleet.key(id).and_then(|key| fleet.get(key)).is_some_and(|u| u.entry.draining)
 }
--- a/crates/tgw-forward/src/cold.rs
+++ b/crates/tgw-forward/src/cold.rs
@@ -35,6 +35,8 @@
 }
 
 impl Fleet {
+    /// Adopts the warm-up rates of a configuration. Services without a positive rate get no limit on
+    /// sends to their cold upstreams.
     pub(crate) fn set_cold_limits(&mut self, config: &Config) {
         let limited =
             config.services.iter().filter(|(_, service)| service.warmup.requests_per_s > 0.0);
--- a/crates/tgw-forward/src/margin.rs
+++ b/crates/tgw-forward/src/margin.rs
@@ -14,7 +14,8 @@
 /// Delay assumed before any timer fired, in ms: answers then leave 14 ms before their latency
 /// target, which was best on a quarter of a core.
 const INITIAL_DELAY_MS: f64 = 8.0 / 3.0;
-/// Lower bound of the estimate, in ms.
+/// Lower bound of the estimated wake-up delay, in ms. Each timer changes the estimate by a factor, so
+/// from far below this value it would take many late timers to raise it again.
 const MIN_DELAY_MS: f64 = 1.5;
 /// Upper bound of the estimate, in ms: a process paused for longer misses the target anyway.
 const MAX_DELAY_MS: f64 = 25.0;
--- a/crates/tgw-forward/src/plan.rs
+++ b/crates/tgw-forward/src/plan.rs
@@ -121,7 +121,9 @@
         std::mem::take(&mut self.late_upstreams)
     }
 
-    /// The sends so far, the parts received, and all parts.
+    /// For the log line of an answer and for measurements: the number of sends so far over all parts,
+    /// of parts whose reply was received, and of all parts. Only parts of a query over shards count
+    /// as received.
     pub fn progress(&self) -> (u32, usize, usize) {
         let sends = self.parts.iter().map(|p| p.sends).sum();
         (sends, self.count(|p| matches!(p.state, State::Received { .. })), self.parts.len())
--- a/crates/tgw-forward/src/upstream/mod.rs
+++ b/crates/tgw-forward/src/upstream/mod.rs
@@ -293,6 +293,9 @@
         self.backoff_until = now + Millis::new(span);
     }
 
+    /// Adds a reply's latency to the average. The first one is taken as it is; later ones count as at
+    /// most `OUTLIER_FACTOR` times the expected latency plus `OUTLIER_MARGIN_MS`, so that one reply
+    /// delayed by a pause does not make the upstream look slow for seconds.
     fn record_latency(&mut self, now: Millis, ms: f64) {
         self.latency_ms = if self.sampled_at.is_none() {
             ms
--- a/crates/tgw-gateway/src/discovery.rs
+++ b/crates/tgw-gateway/src/discovery.rs
@@ -44,6 +44,8 @@
     result.is_ok()
 }
 
+/// Writes the address at which this VM listens for peers to the store, under the VM's name. An object
+/// that is already there stays as it is and counts as success.
 async fn publish(shared: &Shared, store: &dyn Store, peers: &Peers) -> Result<(), Error> {
     let (kind, name) = (&shared.codec.kinds().vms, &shared.settings.vm);
     let value = json!({ ADDRESS_KEY: peers.addr().to_string() });
--- a/crates/tgw-gateway/src/handle.rs
+++ b/crates/tgw-gateway/src/handle.rs
@@ -76,6 +76,8 @@
 
 type Refusal = Box<Response<Full<Bytes>>>;
 
+/// Finds the route of a caller's request and reads its body, before anything is sent to an upstream.
+/// Errors: the response that refuses the request.
 async fn accept(
     shared: &Shared,
     request: Request<Incoming>,
--- a/crates/tgw-gateway/src/metrics.rs
+++ b/crates/tgw-gateway/src/metrics.rs
@@ -25,19 +25,32 @@
 /// Values of the gauges, which are read whenever metrics are collected.
 #[derive(Debug, Default)]
 pub(crate) struct Gauges {
+    /// Version of the configuration in force; 0 if there is none.
     pub(crate) config: AtomicU64,
+    /// When it came into force, in ms since the start.
     pub(crate) config_since: AtomicU64,
+    /// Upstreams known.
     pub(crate) upstreams: AtomicU64,
+    /// Live VMs that share connections and budgets.
     pub(crate) vms: AtomicU64,
+    /// Callers' requests in progress.
     pub(crate) running: AtomicU64,
     pub(crate) idle_connections: AtomicU64,
+    /// Log lines that the limiter left out since the start.
     pub(crate) lines_left_out: AtomicU64,
+    /// Log lines dropped because the ring was full.
     pub(crate) lines_dropped: AtomicU64,
+    /// Sends in progress for other VMs.
     pub(crate) hosted: AtomicU64,
+    /// Memory free for bodies.
     pub(crate) free_memory_bytes: AtomicU64,
+    /// 1 while the balancer may send callers, else 0.
     pub(crate) ready: AtomicU64,
+    /// Upstream entries that cannot be decoded.
     pub(crate) unreadable: AtomicU64,
+    /// Requests in quarantine.
     pub(crate) quarantined: AtomicU64,
+    /// All requests that the quarantine remembers, quarantined or not.
     pub(crate) suspected: AtomicU64,
 }
 
@@ -144,7 +157,8 @@
         self.send_ends.add(1, &[KeyValue::new("result", outcome.text())]);
     }
 
-    /// Counts an upstream of a service that ended under a send.
+    /// Counts an upstream process of a service that terminated while it had sends of this VM; one
+    /// count for all sends that broke together.
     pub(crate) fn count_upstream_end(&self, service: &str) {
         self.upstream_ends.add(1, &[KeyValue::new("service", service.to_owned())]);
     }
--- a/crates/tgw-gateway/src/peers.rs
+++ b/crates/tgw-gateway/src/peers.rs
@@ -133,6 +133,8 @@
         self.on_member_event(Event::Seeds(seeds));
     }
 
+    /// Handles packets from other VMs, passes on what this VM has learned, and runs the periodic work
+    /// of membership and dissemination, for as long as the process runs.
     async fn run(self: Rc<Self>) {
         let mut tick = interval(TICK_INTERVAL);
         tick.set_missed_tick_behavior(MissedTickBehavior::Skip);
--- a/crates/tgw-gateway/src/quarantine.rs
+++ b/crates/tgw-gateway/src/quarantine.rs
@@ -99,6 +99,8 @@
     released
 }
 
+/// Logs that a request was quarantined or released; other changes are not logged here. `source` names
+/// where this VM learned it: its own send, another VM's address, an upstream's answer or an operator.
 fn log_change(fingerprint: Fingerprint, change: Change, source: &str) {
     match change {
         Change::Unchanged | Change::UpstreamEnded => {}
--- a/crates/tgw-gateway/src/watch/mod.rs
+++ b/crates/tgw-gateway/src/watch/mod.rs
@@ -65,8 +65,10 @@
     follow(&shared, &*store, &mut Evacuations::new(&shared)).await;
 }
 
-/// Reads a kind from the store when it is this VM's turn, and watches it while this VM is a relay.
-/// Otherwise this VM receives the state from peers.
+/// Keeps a topic up to date from the store for as long as the process runs: lists its objects, then
+/// watches for changes, while this VM is a relay, or as long as nothing is known of the kind and it
+/// is this VM's turn at the start. Otherwise it receives the state from peers; a watch stops once
+/// this VM is no relay.
 async fn follow(shared: &Shared, store: &dyn Store, topic: &mut dyn Topic) {
     let mut relay = shared.relay.subscribe();
     let mut schedule = Schedule::new(rand::random(), topic.timing());
--- a/crates/tgw-member/src/failure_detector.rs
+++ b/crates/tgw-member/src/failure_detector.rs
@@ -89,6 +89,9 @@
         }
     }
 
+    /// Handles a probe of `target` that was not answered in time. A live VM becomes suspect; a leaving
+    /// one becomes dead at once, as suspect is a less severe state than leaving and so may not follow
+    /// it within an incarnation.
     pub(crate) fn suspect(&mut self, now: Millis, target: Vm, out: &mut Actions) {
         let Some(mut record) = self.records.get(&target).cloned() else { return };
         if !matches!(record.member.state, State::Alive | State::Leaving) {
--- a/crates/tgw-member/src/relay.rs
+++ b/crates/tgw-member/src/relay.rs
@@ -20,7 +20,8 @@
     stamp: u64,
 }
 
-/// A summary of the editions in force at the VMs of one domain.
+/// How far the operators' table has been adopted by the VMs of one domain: a summary of the editions
+/// (versions of the table) in force there.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rollout {
     /// The lowest edition in force at any live VM.
@@ -119,6 +120,8 @@
         self.editions.insert(vm, edition);
     }
 
+    /// The latest summary of each domain: the lowest edition of the operators' table in force at its
+    /// VMs, how many VMs are behind the domain's highest edition, and one of these.
     pub(crate) fn rollouts(&self) -> &BTreeMap<Domain, Rollout> {
         &self.rollouts
     }
--- a/crates/tgw-quarantine/src/message.rs
+++ b/crates/tgw-quarantine/src/message.rs
@@ -50,7 +50,8 @@
 }
 
 impl QuarantineState {
-    /// The state of a request that was never quarantined.
+    /// The state of a request that was never quarantined. `Tracker` uses it to name the request whose state is to be
+    /// reported; the evidence against the request then fills in `epoch`, `trials` and `wait`.
     pub fn initial(fingerprint: Fingerprint) -> Self {
         Self { fingerprint, service: None, epoch: 0, trials: 0, wait: 0 }
     }
--- a/crates/tgw-quarantine/src/tracker.rs
+++ b/crates/tgw-quarantine/src/tracker.rs
@@ -25,8 +25,8 @@
 /// do never rejects another's, as it may be due to a header of that caller; what two callers' requests do does not
 /// depend on the caller.
 const CALLER_QUORUM: usize = 2;
-/// Most reports queued for other VMs. The oldest are dropped beyond that: a sender of so many different requests is
-/// known by the remaining ones.
+/// Most reports in each of the two queues for other VMs, that of terminations and that of states. When a queue is full,
+/// its oldest report is dropped: if very many different requests end upstreams, the latest reports are the ones sent.
 const MAX_QUEUED_REPORTS: usize = 512;
 
 /// What may be done with a request, or with its part at a service.
--- a/crates/tgw-query/src/running.rs
+++ b/crates/tgw-query/src/running.rs
@@ -126,6 +126,8 @@
         }
     }
 
+    /// Which shards were answered, and why the others are missing. A shard that is still open counts
+    /// as missed at the deadline.
     pub(crate) fn coverage(&self) -> Coverage {
         let mut coverage = Coverage { shards: self.shards.len(), ..Coverage::default() };
         for p in &self.shards {
--- a/crates/tgw-query/src/snapshot.rs
+++ b/crates/tgw-query/src/snapshot.rs
@@ -61,6 +61,10 @@
     candidate
 }
 
+/// The best snapshot with a servable shard. With [`Choice::Newest`], that is the newest one that is
+/// servable in all shards and held by at least `MIN_REPLICAS_PCT` of each shard's replicas; without
+/// such a one, or with another choice, the one with the largest part of its shards servable, then
+/// the highest `min_replicas_pct`, then the newest.
 fn find_best(
     (catalog, index): (&Catalog, &Index),
     tracker: &Tracker,
--- a/crates/tgw-query/src/tracker.rs
+++ b/crates/tgw-query/src/tracker.rs
@@ -131,7 +131,8 @@
         self.vms.iter().filter(|(_, s)| s.unresponsive).map(|(vm, _)| *vm).collect()
     }
 
-    /// Expected time until an answer from a group, in milliseconds.
+    /// Cost by which groups are ranked, in milliseconds; the lowest is the best. It is the expected
+    /// time until an answer, plus penalties for recent failures and for an overdue attempt.
     pub(crate) fn estimate_ms(&self, now: Millis, group: Group, view: &View<'_>) -> f64 {
         let place = view.index.get(group).map_or(view.local_place, |m| m.place);
         let base_ms =
--- a/crates/tgw-route/src/round_robin.rs
+++ b/crates/tgw-route/src/round_robin.rs
@@ -7,10 +7,13 @@
     entries: Vec<Entry>,
 }
 
+/// A service with its weight.
 #[derive(Clone, Debug)]
 struct Entry {
     service: Rc<str>,
     weight: f64,
+    /// How far the service is behind its share: grows by `weight` with each choice, and falls by the
+    /// sum of all weights when the service is chosen. The highest credit is chosen next.
     credit: f64,
 }
 
--- a/crates/tgw-spread/src/upstreams.rs
+++ b/crates/tgw-spread/src/upstreams.rs
@@ -218,7 +218,8 @@
         unlisted.iter().for_each(|id| self.catalog.apply_removal(id, fleet));
     }
 
-    /// Updates the entries of retained upstreams, for VMs that ask.
+    /// Copies the last entries of the upstreams that the catalog now retains from the fleet. Updates for other VMs take
+    /// them from there, as the store's list no longer contains them.
     fn refresh_retained(&mut self, fleet: &Fleet) {
         let retained: HashSet<&Rc<str>> = self.catalog.retentions().map(|(id, _)| id).collect();
         let entry = |id: &&Rc<str>| Some(fleet.get(fleet.key(id)?)?.entry.clone());
