--- a/crates/tgw-quarantine/src/tracker.rs
+++ b/crates/tgw-quarantine/src/tracker.rs
@@ -26,7 +26,8 @@
 /// depend on the caller.
 const CALLER_QUORUM: usize = 2;
 /// Most reports in each of the two queues for other VMs, that of terminations and that of states. When a queue is full,
-/// its oldest report is dropped: if very many different requests end upstreams, the latest reports are the ones sent.
+/// its oldest report is dropped: a caller that sends so many different requests that end upstreams is identified by
+/// the reports that remain.
 const MAX_QUEUED_REPORTS: usize = 512;
 
 /// What may be done with a request, or with its part at a service.
